--- a/bench/decisions/dispatched_region.cc
+++ b/bench/decisions/dispatched_region.cc
@@ -195,7 +195,7 @@
   for (const auto& entry : entries_) {
     const auto counts = entry.loans->counts();
     report_.loans += counts.borrowed;
-    report_.asks += counts.asks_sent;
+    report_.asks += counts.requests_sent;
     report_.loan_messages += counts.messages;
   }
 }
--- a/src/libsamphire/allowance/lender_digest.h
+++ b/src/libsamphire/allowance/lender_digest.h
@@ -6,8 +6,10 @@
 
 namespace samphire {
 
-// What gossip last told of a peer that may lend. It lags.
+// Load of a peer that may lend slots of a service, as last received by gossip.
+// It lags behind the peer's actual state.
 struct lender_digest {
+  // Instance name of the peer.
   std::string peer;
   std::uint32_t free_slots = 0;
 };
--- a/src/libsamphire/allowance/loan_ledger.cc
+++ b/src/libsamphire/allowance/loan_ledger.cc
@@ -9,18 +9,18 @@
 namespace {
 
 template <typename T>
-void MoveInto(std::vector<T>& all, std::vector<T> more) {
+void AppendTo(std::vector<T>& all, std::vector<T> more) {
   std::move(more.begin(), more.end(), std::back_inserter(all));
 }
 
-struct message_reader {
+struct message_handler {
   loan_lender& lender;
   loan_borrower& borrower;
   const std::string& from;
   time_point now;
 
-  void operator()(const loan_ask& message) const {
-    lender.OnAsk(from, message, now);
+  void operator()(const loan_request& message) const {
+    lender.OnRequest(from, message, now);
   }
   void operator()(const loan_renewal& message) const {
     lender.OnRenewal(from, message, now);
@@ -31,8 +31,8 @@
   void operator()(const loan_grant& message) const {
     borrower.OnGrant(from, message, now);
   }
-  void operator()(const loan_closed& message) const {
-    borrower.OnClosed(from, message);
+  void operator()(const loan_return_ack& message) const {
+    borrower.OnReturnAck(from, message);
   }
   void operator()(const loan_refusal& message) const {
     borrower.OnRefusal(from, message);
@@ -41,16 +41,16 @@
 
 }  // namespace
 
-loan_ledger::loan_ledger(service_dispatcher& slots,
+loan_ledger::loan_ledger(service_dispatcher& dispatcher,
                          const std::string& service,
                          const limits& bounds,
                          std::uint64_t incarnation,
                          std::uint64_t seed)
-    : lender_(slots,
+    : lender_(dispatcher,
               service,
               {bounds.loan_ttl, bounds.clock_drift},
               incarnation),
-      borrower_(slots,
+      borrower_(dispatcher,
                 service,
                 {bounds.loan_ttl, bounds.clock_drift},
                 incarnation,
@@ -60,25 +60,25 @@
   borrower_.SetLenders(std::move(lenders));
 }
 
-loan_step loan_ledger::Receive(const std::string& from,
-                               const loan_message& message,
-                               time_point now) {
-  std::visit(message_reader{lender_, borrower_, from, now}, message);
+loan_step_result loan_ledger::Receive(const std::string& from,
+                                      const loan_message& message,
+                                      time_point now) {
+  std::visit(message_handler{lender_, borrower_, from, now}, message);
   return Collect(now);
 }
 
-loan_step loan_ledger::Advance(time_point now) {
+loan_step_result loan_ledger::Advance(time_point now) {
   return Collect(now);
 }
 
-loan_step loan_ledger::Collect(time_point now) {
+loan_step_result loan_ledger::Collect(time_point now) {
   lender_.Advance(now);
   borrower_.Advance(now);
-  loan_step step;
-  MoveInto(step.messages, lender_.TakeMessages());
-  MoveInto(step.messages, borrower_.TakeMessages());
-  MoveInto(step.wakeups, lender_.TakeWakeups());
-  MoveInto(step.wakeups, borrower_.TakeWakeups());
+  loan_step_result step;
+  AppendTo(step.messages, lender_.TakeMessages());
+  AppendTo(step.messages, borrower_.TakeMessages());
+  AppendTo(step.wakeups, lender_.TakeWakeups());
+  AppendTo(step.wakeups, borrower_.TakeWakeups());
   messages_ += step.messages.size();
   return step;
 }
--- a/src/libsamphire/allowance/loan_ledger.h
+++ b/src/libsamphire/allowance/loan_ledger.h
@@ -15,43 +15,51 @@
 
 namespace samphire {
 
-// What a step of the loans leaves to do: messages to carry, waiters to wake.
-struct loan_step {
+// Effects of a step that the caller has to carry out: messages to send to
+// peers, and waiting requests to wake.
+struct loan_step_result {
   loan_outbox messages;
   std::vector<wakeup> wakeups;
 };
 
-// Both sides of the loans of one service at one entry. Advance is to be called
-// after every call into the dispatcher, and when NextDue has come. Under the
-// same lock as the dispatcher.
+// Both sides, lending and borrowing, of the loans of one service at one entry.
+// Advance must be called after every call into the dispatcher, and whenever the
+// time returned by NextDue is reached. Not thread-safe: all calls must be made
+// under the lock that guards the dispatcher.
 class loan_ledger {
  public:
-  // `incarnation` must differ from that of every earlier process here.
-  loan_ledger(service_dispatcher& slots,
+  // `incarnation` must differ from that of every earlier process on this
+  // instance. `seed` determines the random choice of lenders.
+  loan_ledger(service_dispatcher& dispatcher,
               const std::string& service,
               const limits& bounds,
               std::uint64_t incarnation,
               std::uint64_t seed);
 
-  // The region's other entries that own slots of the service.
+  // Replaces the set of the region's other entries that own slots of the
+  // service.
   void SetLenders(std::vector<lender_digest> lenders);
 
-  loan_step Receive(const std::string& from,
-                    const loan_message& message,
-                    time_point now);
-  loan_step Advance(time_point now);
+  // Handles a message from the peer `from`. The message may be outdated or
+  // duplicated.
+  loan_step_result Receive(const std::string& from,
+                           const loan_message& message,
+                           time_point now);
+  loan_step_result Advance(time_point now);
+  // Earliest time at which Advance has something to do; time_point::max() if
+  // nothing is due.
   time_point NextDue() const;
 
-  // The entry is leaving: nothing is lent or borrowed any more. Its seats may
-  // be handed over once lent_out is 0.
+  // Stops lending and borrowing for good, because the entry is leaving. Its
+  // slot partitions may be handed over once lent_out() is 0.
   void Leave();
 
   loan_counts counts() const;
-  // Slots lent and not yet back: a leaving entry waits for these.
+  // Number of slots lent and not yet returned; a leaving entry waits for them.
   std::size_t lent_out() const { return lender_.outstanding(); }
 
  private:
-  loan_step Collect(time_point now);
+  loan_step_result Collect(time_point now);
 
   loan_lender lender_;
   loan_borrower borrower_;
--- a/src/libsamphire/allowance/loan_lender.h
+++ b/src/libsamphire/allowance/loan_lender.h
@@ -17,77 +17,96 @@
 
 namespace samphire {
 
-// The lending side of one service at one entry: asks that wait, slots lent.
+// Lending side of the loans of one service at one entry: tracks the requests of
+// peers that wait for a free slot, and the slots lent. Not thread-safe; used
+// under the lock that guards the dispatcher.
 class loan_lender {
  public:
-  loan_lender(service_dispatcher& slots,
+  loan_lender(service_dispatcher& dispatcher,
               std::string service,
               const loan_terms& terms,
               std::uint64_t incarnation)
-      : slots_(slots),
+      : dispatcher_(dispatcher),
         service_(std::move(service)),
         terms_(terms),
         incarnation_(incarnation) {}
 
-  void OnAsk(const std::string& from, const loan_ask& ask, time_point now);
+  // Handle messages from the peer `from`. A duplicated request takes no second
+  // slot; its grant is sent again. A return is acknowledged even if it matches
+  // nothing.
+  void OnRequest(const std::string& from,
+                 const loan_request& request,
+                 time_point now);
   void OnReturn(const std::string& from,
                 const loan_return& message,
                 time_point now);
   void OnRenewal(const std::string& from,
                  const loan_renewal& message,
                  time_point now);
-  // Refuses all asks from now on, those that wait included.
+  // Refuses all requests and renewals from now on, pending requests included.
   void StopLending() { lending_ = false; }
-  // Lends, refuses and reclaims what is due.
+  // Refuses expired requests, reclaims overdue loans and grants free slots to
+  // pending requests.
   void Advance(time_point now);
+  // Earliest time at which a request expires or a loan is reclaimed;
+  // time_point::max() if there is neither.
   time_point NextDue() const;
 
+  // Hand over what has accumulated since the last call.
   loan_outbox TakeMessages();
   std::vector<wakeup> TakeWakeups();
   const loan_counts& counts() const { return counts_; }
+  // Number of slots lent and not yet returned or reclaimed.
   std::size_t outstanding() const { return loans_.size(); }
 
  private:
-  struct waiting_ask {
+  struct pending_request {
     std::string borrower;
-    loan_ask ask;
-    // When the request it is for began to wait, by this entry's clock.
+    loan_request request;
+    // When the caller's request that needs the slot began to wait, by this
+    // entry's clock.
     time_point waiting_since;
-    time_point answer_by;
+    // When the request is refused unless a slot was granted.
+    time_point respond_by;
   };
   struct loan {
     std::string borrower;
     std::uint64_t borrower_incarnation = 0;
-    std::uint64_t ask_id = 0;
+    std::uint64_t request_id = 0;
     std::string target;
+    // When the slot is taken back unless it was returned or renewed.
     time_point reclaim_at;
   };
 
-  void RefuseDue(time_point now);
-  void ReclaimDue(time_point now);
-  void LendToOldest(time_point now);
-  void TellOldestAsk(time_point now);
-  void Grant(const std::string& to, std::uint64_t ask_id, std::uint64_t id);
-  void Refuse(const std::string& to,
-              const std::string& service,
-              std::uint64_t incarnation,
-              std::uint64_t ask_id);
+  void RefuseExpired(time_point now);
+  void ReclaimExpired(time_point now);
+  void GrantToOldest(time_point now);
+  void ReportOldestRequest(time_point now);
+  void SendGrant(const std::string& to,
+                 std::uint64_t request_id,
+                 std::uint64_t loan_id);
+  void SendRefusal(const std::string& to,
+                   const std::string& service,
+                   std::uint64_t incarnation,
+                   std::uint64_t request_id);
   time_point ReclaimAt(std::int64_t ttl_us,
                        std::int64_t longest_work_us,
                        time_point now) const;
-  void Close(std::map<std::uint64_t, loan>::iterator closed, time_point now);
-  void Wake(std::vector<wakeup> wakeups);
+  void CloseLoan(std::map<std::uint64_t, loan>::iterator closed,
+                 time_point now);
+  void QueueWakeups(std::vector<wakeup> wakeups);
 
-  service_dispatcher& slots_;
+  service_dispatcher& dispatcher_;
   std::string service_;
   loan_terms terms_;
   std::uint64_t incarnation_;
   bool lending_ = true;
-  std::uint64_t next_loan_ = 1;
+  std::uint64_t next_loan_id_ = 1;
   std::map<std::uint64_t, loan> loans_;
-  // Longest waiting first.
-  std::vector<waiting_ask> asks_;
-  std::optional<time_point> told_oldest_;
+  // Sorted, with the longest waiting request first.
+  std::vector<pending_request> pending_;
+  // Start of the longest wait, as last reported to the dispatcher.
+  std::optional<time_point> reported_oldest_;
   loan_outbox outbox_;
   std::vector<wakeup> wakeups_;
   loan_counts counts_;
--- a/src/libsamphire/allowance/loan_messages.h
+++ b/src/libsamphire/allowance/loan_messages.h
@@ -9,91 +9,98 @@
 
 namespace samphire {
 
-// The messages by which entries of a region lend each other slots. Any of them
-// may be lost, late, doubled or out of order. Times are lengths in
-// microseconds, never points in time: no two instances share a clock. An
-// incarnation is drawn anew by each process, so that numbers of an earlier one
-// are never taken for its own.
-
-// A borrower asks for one slot.
-struct loan_ask {
+// Messages by which entries of a region lend each other slots. Each of them may
+// be lost, delayed, duplicated or reordered. Times are durations in
+// microseconds, never points in time, because no two instances share a clock.
+// Each process draws a new incarnation, so that ids issued by an earlier
+// process on the same instance are never mistaken for its own. Fields are
+// serialized in the order of declaration, and message types by their position
+// in loan_message.
+
+// Borrower to lender: requests one slot of the service.
+struct loan_request {
   std::string service;
   std::uint64_t borrower_incarnation = 0;
-  std::uint64_t ask_id = 0;
-  // How long after the sending of this ask a slot may start work.
+  std::uint64_t request_id = 0;
+  // How long after this request was sent the slot may start work.
   std::int64_t ttl_us = 0;
-  // How long work on it may run.
+  // How long a single piece of work on the slot may run.
   std::int64_t longest_work_us = 0;
-  // How long the request that the slot is for has waited already.
+  // How long the caller's request that needs the slot has already waited.
   std::int64_t waited_us = 0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(service, borrower_incarnation, ask_id, ttl_us, longest_work_us,
+    archive(service, borrower_incarnation, request_id, ttl_us, longest_work_us,
             waited_us);
   }
 };
 
-// The lender has lowered its own share by this slot. Answers an ask or a
-// renewal.
+// Lender to borrower: grants a request or a renewal. The lender has already
+// removed the slot from its own share.
 struct loan_grant {
   std::string service;
   std::uint64_t borrower_incarnation = 0;
-  std::uint64_t ask_id = 0;
+  std::uint64_t request_id = 0;
   std::uint64_t lender_incarnation = 0;
   std::uint64_t loan_id = 0;
   std::string target;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(service, borrower_incarnation, ask_id, lender_incarnation, loan_id,
-            target);
+    archive(service, borrower_incarnation, request_id, lender_incarnation,
+            loan_id, target);
   }
 };
 
-// No slot came free in time, or the lender needs its slot back.
+// Lender to borrower: refuses a request because no slot became free in time, or
+// a renewal because the lender needs its slot back.
 struct loan_refusal {
   std::string service;
   std::uint64_t borrower_incarnation = 0;
-  std::uint64_t ask_id = 0;
+  std::uint64_t request_id = 0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(service, borrower_incarnation, ask_id);
+    archive(service, borrower_incarnation, request_id);
   }
 };
 
-// The borrower has ended its work on the loan, or gives up an ask (loan 0).
+// Borrower to lender: returns a loan whose work has ended, or cancels the
+// request (loan_id 0).
 struct loan_return {
   std::string service;
   std::uint64_t borrower_incarnation = 0;
-  std::uint64_t ask_id = 0;
+  std::uint64_t request_id = 0;
   std::uint64_t lender_incarnation = 0;
   std::uint64_t loan_id = 0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(service, borrower_incarnation, ask_id, lender_incarnation, loan_id);
+    archive(service, borrower_incarnation, request_id, lender_incarnation,
+            loan_id);
   }
 };
 
-// The lender has seen a return, and holds nothing for that ask any more.
-struct loan_closed {
+// Lender to borrower: acknowledges a return. The lender holds neither a pending
+// request nor a loan for that request id any more.
+struct loan_return_ack {
   std::string service;
   std::uint64_t borrower_incarnation = 0;
-  std::uint64_t ask_id = 0;
+  std::uint64_t request_id = 0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(service, borrower_incarnation, ask_id);
+    archive(service, borrower_incarnation, request_id);
   }
 };
 
-// The borrower asks to go on starting work on a loan that it holds.
+// Borrower to lender: asks to extend the time during which work may start on a
+// loan that the borrower holds.
 struct loan_renewal {
   std::string service;
   std::uint64_t borrower_incarnation = 0;
-  std::uint64_t ask_id = 0;
+  std::uint64_t request_id = 0;
   std::uint64_t lender_incarnation = 0;
   std::uint64_t loan_id = 0;
   std::int64_t ttl_us = 0;
@@ -101,17 +108,17 @@
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(service, borrower_incarnation, ask_id, lender_incarnation, loan_id,
-            ttl_us, longest_work_us);
+    archive(service, borrower_incarnation, request_id, lender_incarnation,
+            loan_id, ttl_us, longest_work_us);
   }
 };
 
-using loan_message = std::variant<loan_ask,
+using loan_message = std::variant<loan_request,
                                   loan_grant,
                                   loan_refusal,
                                   loan_return,
                                   loan_renewal,
-                                  loan_closed>;
+                                  loan_return_ack>;
 
 }  // namespace samphire
 
--- a/src/libsamphire/allowance/loan_metrics.cc
+++ b/src/libsamphire/allowance/loan_metrics.cc
@@ -11,11 +11,11 @@
   const auto set = [&](std::string_view name, std::uint64_t count) {
     registry.Set(name, labels, static_cast<double>(count));
   };
-  set("loan_asks", counts.asks_sent);
-  set("loan_asks_unanswered", counts.asks_unanswered);
+  set("loan_asks", counts.requests_sent);
+  set("loan_asks_unanswered", counts.requests_unanswered);
   set("loan_asks_refused", counts.refused);
   set("loans_borrowed", counts.borrowed);
-  set("loans_sent_back", counts.sent_back);
+  set("loans_sent_back", counts.returned_unused);
   set("loans_lent", counts.lent);
   set("loans_renewed", counts.renewed);
   set("loans_reclaimed", counts.reclaimed);
--- a/src/libsamphire/allowance/loan_metrics.h
+++ b/src/libsamphire/allowance/loan_metrics.h
@@ -8,7 +8,8 @@
 
 namespace samphire {
 
-// Sets the gauges that show one service's loans; each only ever rises.
+// Publishes the loan counters of one service as gauges labelled with the
+// service's name. Each of them only ever increases.
 void PublishLoans(metrics& registry,
                   std::string_view service,
                   const loan_counts& counts);
--- a/src/libsamphire/allowance/loan_outbox.h
+++ b/src/libsamphire/allowance/loan_outbox.h
@@ -8,12 +8,13 @@
 
 namespace samphire {
 
-// A loan message to be carried to a peer.
+// A loan message to be sent to the peer `to` (an instance name).
 struct outgoing_loan_message {
   std::string to;
   loan_message message;
 };
 
+// Messages in the order in which they are to be sent.
 using loan_outbox = std::vector<outgoing_loan_message>;
 
 }  // namespace samphire
--- a/src/libsamphire/allowance/loan_terms.h
+++ b/src/libsamphire/allowance/loan_terms.h
@@ -5,12 +5,14 @@
 
 namespace samphire {
 
-// The lengths of time that loans are made under; see limits.
+// Time bounds that apply to every loan. Both are set in the configuration (see
+// config/limits.h).
 struct loan_terms {
-  // How long after an ask a slot may start work.
+  // How long after its request was sent a borrowed slot may start work.
   duration ttl{0};
-  // Allowed error between two instances' clocks over a loan.
-  duration drift{0};
+  // Largest difference that two instances' clocks may accumulate over the
+  // duration of a loan.
+  duration clock_drift{0};
 };
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/entry_node.cc
+++ b/src/libsamphire/gateway/entry_node.cc
@@ -28,8 +28,8 @@
   return limits;
 }
 
-seat_limits SeatLimits() {
-  seat_limits limits;
+partition_timing SeatLimits() {
+  partition_timing limits;
   limits.jitter = Jitter();
   return limits;
 }
@@ -87,11 +87,11 @@
              clock_,
              metrics_,
              settings_.region,
-             seat_keeper_state(settings_.instance,
-                               settings_.region,
-                               incarnation_,
-                               SeatLimits(),
-                               clock_.now()),
+             partition_manager_state(settings_.instance,
+                                     settings_.region,
+                                     incarnation_,
+                                     SeatLimits(),
+                                     clock_.now()),
              shares_),
       signer_(secrets_.keys, {settings_.instance, incarnation_}, clock_),
       peer_caller_(pool_, signer_, [this] { return fleet_.OwnRegionPeers(); }),
@@ -211,7 +211,7 @@
   Log(log_level::kInfo, "drained",
       {{"seconds",
         std::chrono::duration<double>(clock_.now() - started).count()},
-       {"seats_kept", seats_.held()}});
+       {"seats_kept", seats_.owned_count()}});
 }
 
 void entry_node::SetPhase(front_phase phase) {
@@ -224,7 +224,7 @@
     gate->Leave();
   seats_.Leave();
   const auto give_up = clock_.now() + kHandOverTime;
-  while (seats_.held() > 0 && clock_.now() < give_up)
+  while (seats_.owned_count() > 0 && clock_.now() < give_up)
     std::this_thread::sleep_for(kDrainCheck);
 }
 
--- a/src/libsamphire/gateway/entry_node.h
+++ b/src/libsamphire/gateway/entry_node.h
@@ -9,7 +9,7 @@
 #include <thread>
 #include <vector>
 
-#include "allowance/seat_keeper.h"
+#include "allowance/partition_manager.h"
 #include "base/system_clock_source.h"
 #include "config/entry_settings.h"
 #include "distribution/config_follower.h"
@@ -92,7 +92,7 @@
   guarded_quarantine quarantine_;
   deployment_keeper keeper_;
   seat_share shares_;
-  seat_keeper seats_;
+  partition_manager seats_;
   connection_pool pool_;
   peer_signer signer_;
   peer_caller peer_caller_;
--- a/src/libsamphire/gateway/entry_node_status.cc
+++ b/src/libsamphire/gateway/entry_node_status.cc
@@ -69,7 +69,7 @@
       std::chrono::duration_cast<milliseconds>(follower_.confirmed_age())
           .count(),
       follower_.platform_failing(), ledger_.shards(), ledger_.pending(),
-      fmt::join(seats_.Usable(), ","), seats_.held(),
+      fmt::join(seats_.Usable(), ","), seats_.owned_count(),
       fmt::join(seats_.Stranded(), ","), DrainNames(),
       quarantine_.quarantined(), quarantine_.targets_lost(), members, services);
 }
--- a/src/libsamphire/gateway/entry_node_ticks.cc
+++ b/src/libsamphire/gateway/entry_node_ticks.cc
@@ -109,8 +109,8 @@
   keeper_.OnImage(image);
   const auto present = state_.deployments.Get();
   shares_.Follow(present);
-  seats_.SetSeats(SeatCount(present->declared(), settings_.region),
-                  SeatQuarantine(present->declared()));
+  seats_.SetPartitions(SeatCount(present->declared(), settings_.region),
+                       SeatQuarantine(present->declared()));
 }
 
 // Who shares the region's seats and lends its slots.
--- a/src/libsamphire/gateway/peer_messenger.cc
+++ b/src/libsamphire/gateway/peer_messenger.cc
@@ -15,7 +15,7 @@
                                    message_kind::kLoanReturn};
 
 struct kind_of_loan {
-  message_kind operator()(const loan_ask& /*message*/) const {
+  message_kind operator()(const loan_request& /*message*/) const {
     return message_kind::kLoanAsk;
   }
   message_kind operator()(const loan_renewal& /*message*/) const {
@@ -27,7 +27,7 @@
   message_kind operator()(const loan_refusal& /*message*/) const {
     return message_kind::kLoanAnswer;
   }
-  message_kind operator()(const loan_closed& /*message*/) const {
+  message_kind operator()(const loan_return_ack& /*message*/) const {
     return message_kind::kLoanAnswer;
   }
   message_kind operator()(const loan_return& /*message*/) const {
--- a/src/libsamphire/gateway/seat_share.cc
+++ b/src/libsamphire/gateway/seat_share.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "allowance/seat_slot_map.h"
+#include "allowance/partition_slot_map.h"
 
 namespace samphire {
 
@@ -40,7 +40,8 @@
 std::vector<owned_slots> SlotsOf(const service& part,
                                  const std::vector<std::uint32_t>& seats,
                                  std::uint32_t seat_count) {
-  const auto counts = SlotsOfSeats(part.name, part.targets, seats, seat_count);
+  const auto counts =
+      SlotsOfPartitions(part.name, part.targets, seats, seat_count);
   std::vector<owned_slots> owned;
   for (std::size_t i = 0; i < part.targets.size(); ++i)
     owned.push_back({part.targets[i].name, counts[i]});
@@ -64,7 +65,7 @@
   Share();
 }
 
-void seat_share::OnSeats(const std::vector<std::uint32_t>& usable) {
+void seat_share::OnUsablePartitions(const std::vector<std::uint32_t>& usable) {
   std::lock_guard guard(lock_);
   seats_ = usable;
   metrics_.Set("seats", "", static_cast<double>(usable.size()));
@@ -107,7 +108,8 @@
   return seats;
 }
 
-void seat_share::OnWaitingSeats(const std::vector<waiting_seat>& waiting) {
+void seat_share::OnPartitionTakeovers(
+    const std::vector<partition_takeover>& waiting) {
   std::lock_guard guard(lock_);
   waiting_ = waiting;
   Share();
--- a/src/libsamphire/gateway/seat_share.h
+++ b/src/libsamphire/gateway/seat_share.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "allowance/seat_user.h"
+#include "allowance/partition_user.h"
 #include "gateway/deployment.h"
 #include "gateway/gate_set.h"
 #include "metrics/metrics.h"
@@ -15,7 +15,7 @@
 
 // Turns the seats of this entry into slots and shares of the shift caps at its
 // gates.
-class seat_share final : public seat_user {
+class seat_share final : public partition_user {
  public:
   seat_share(std::string region,
              gate_set& gates,
@@ -25,8 +25,9 @@
   // A configuration may change slots, targets, caps and the number of seats.
   void Follow(const deployment_ptr& present);
 
-  void OnSeats(const std::vector<std::uint32_t>& usable) override;
-  void OnWaitingSeats(const std::vector<waiting_seat>& waiting) override;
+  void OnUsablePartitions(const std::vector<std::uint32_t>& usable) override;
+  void OnPartitionTakeovers(
+      const std::vector<partition_takeover>& waiting) override;
   bool IsIdle(std::uint32_t seat) override;
   // Looks whether a service's own wait for a seat has ended.
   void Tick();
@@ -45,7 +46,7 @@
   mutable std::mutex lock_;
   deployment_ptr present_;
   std::vector<std::uint32_t> seats_;
-  std::vector<waiting_seat> waiting_;
+  std::vector<partition_takeover> waiting_;
 };
 
 }  // namespace samphire
--- a/tests/gateway/seat_share_test.cc
+++ b/tests/gateway/seat_share_test.cc
@@ -58,8 +58,8 @@
   // An entry is killed and another takes its seat. Levels have to come back
   // within seconds although a class of downloads may run for five minutes.
   share_rig rig;
-  rig.shares.OnSeats({0});
-  rig.shares.OnWaitingSeats({{.number = 1, .since = rig.clock.now()}});
+  rig.shares.OnUsablePartitions({0});
+  rig.shares.OnPartitionTakeovers({{.number = 1, .since = rig.clock.now()}});
   CHECK(rig.Owned("levels") == 2);
   rig.clock.Advance(3299ms);
   rig.shares.Tick();
@@ -69,18 +69,18 @@
   CHECK(rig.Owned("levels") == 4);
   CHECK(rig.Owned("archives") == 2);
   // The keeper tells when the whole wait is over.
-  rig.shares.OnWaitingSeats({});
-  rig.shares.OnSeats({0, 1});
+  rig.shares.OnPartitionTakeovers({});
+  rig.shares.OnUsablePartitions({0, 1});
   CHECK(rig.Owned("levels") == 4);
   CHECK(rig.Owned("archives") == 4);
 }
 
 TEST_CASE("a seat that is given up while it waits takes its slots along") {
   share_rig rig;
-  rig.shares.OnWaitingSeats({{.number = 0, .since = rig.clock.now()}});
+  rig.shares.OnPartitionTakeovers({{.number = 0, .since = rig.clock.now()}});
   rig.clock.Advance(4s);
   rig.shares.Tick();
   CHECK(rig.Owned("levels") == 2);
-  rig.shares.OnWaitingSeats({});
+  rig.shares.OnPartitionTakeovers({});
   CHECK(rig.Owned("levels") == 0);
 }
--- a/tests/loans/loan_ledger_test.cc
+++ b/tests/loans/loan_ledger_test.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-// A lender with free slots and a borrower with none, and the messages between
-// them in the hands of the test.
+// A lender with free slots and a borrower with none. The test delivers the
+// messages between them.
 struct loan_pair {
   loan_pair() : lender(1, 2), borrower(1, 1) {
     borrower.slots.SetOwnedSlots({}, now());
@@ -25,15 +25,16 @@
     borrower.now += time;
     lender.now += time;
   }
-  loan_step Borrow() { return borrower_loans.Advance(now()); }
-  loan_step ToLender(const loan_message& message) {
+  loan_step_result Borrow() { return borrower_loans.Advance(now()); }
+  loan_step_result ToLender(const loan_message& message) {
     return lender_loans.Receive("borrower", message, now());
   }
-  loan_step ToBorrower(const loan_message& message) {
+  loan_step_result ToBorrower(const loan_message& message) {
     return borrower_loans.Receive("lender", message, now());
   }
-  // Queues a request at the borrower and returns the ask that it causes.
-  loan_message Ask() {
+  // Queues a caller's request at the borrower and returns the loan request that
+  // it causes.
+  loan_message SubmitAndRequest() {
     borrower.Ask("reading", 900ms);
     return Borrow().messages.at(0).message;
   }
@@ -53,9 +54,10 @@
 
 }  // namespace
 
-TEST_CASE("a borrowed slot serves a waiter and goes back") {
+TEST_CASE("a borrowed slot serves a waiting request and is returned") {
   loan_pair pair;
-  const auto grant = pair.ToLender(pair.Ask()).messages.at(0).message;
+  const auto grant =
+      pair.ToLender(pair.SubmitAndRequest()).messages.at(0).message;
   CHECK(pair.LenderFree() == 1);
   const auto step = pair.ToBorrower(grant);
   REQUIRE(step.wakeups.size() == 1);
@@ -64,18 +66,18 @@
   pair.borrower.Finish(slot);
   const auto back = pair.Borrow().messages.at(0).message;
   const auto closed = pair.ToLender(back).messages.at(0).message;
-  CHECK(std::holds_alternative<loan_closed>(closed));
+  CHECK(std::holds_alternative<loan_return_ack>(closed));
   CHECK(pair.LenderFree() == 2);
   pair.ToBorrower(closed);
   CHECK(pair.borrower_loans.NextDue() == time_point::max());
 }
 
-// The answer to an ask is lost. The lender's slot stands idle, and were it
-// given out for good, the lender's own callers would wait for it.
-TEST_CASE("a lost grant costs the slot until the ask is given up") {
+// The response to a request is lost, so the lender's slot is idle. If it stayed
+// lent for good, the lender's own callers would wait for it.
+TEST_CASE("a lost grant costs the slot only until the request expires") {
   loan_pair pair;
-  const auto ask = pair.Ask();
-  pair.ToLender(ask);
+  const auto request = pair.SubmitAndRequest();
+  pair.ToLender(request);
   CHECK(pair.LenderFree() == 1);
   pair.Pass(pair.borrower_loans.NextDue() - pair.now());
   const auto step = pair.Borrow();
@@ -90,11 +92,11 @@
   CHECK(pair.LenderFree() == 2);
 }
 
-// The borrower dies or its return is lost for good. Taken back too early, the
-// slot would run two requests at once.
-TEST_CASE("a loan without word is taken back only after its longest work") {
+// The borrower dies, or its return is lost for good. A slot reclaimed too early
+// would run two requests at once.
+TEST_CASE("a loan without a return is reclaimed only after its longest work") {
   loan_pair pair;
-  pair.ToLender(pair.Ask());
+  pair.ToLender(pair.SubmitAndRequest());
   pair.Pass(250ms + 20ms + 1000ms - 1ms);
   pair.lender_loans.Advance(pair.now());
   CHECK(pair.LenderFree() == 1);
@@ -104,25 +106,27 @@
   CHECK(pair.lender_loans.counts().reclaimed == 1);
 }
 
-TEST_CASE("a doubled ask takes one slot and a doubled grant is used once") {
+TEST_CASE(
+    "a duplicate request takes one slot and a duplicate grant is used once") {
   loan_pair pair;
-  const auto ask = pair.Ask();
-  const auto grant = pair.ToLender(ask).messages.at(0).message;
-  const auto again = pair.ToLender(ask).messages.at(0).message;
+  const auto request = pair.SubmitAndRequest();
+  const auto grant = pair.ToLender(request).messages.at(0).message;
+  const auto again = pair.ToLender(request).messages.at(0).message;
   CHECK(As<loan_grant>(again).loan_id == As<loan_grant>(grant).loan_id);
   CHECK(pair.LenderFree() == 1);
   CHECK(pair.ToBorrower(grant).wakeups.size() == 1);
   const auto step = pair.ToBorrower(again);
   CHECK(step.wakeups.empty());
-  // Sent back, it would be lent again under the work that runs on it.
+  // If it were returned, the slot would be lent again while work runs on it.
   CHECK(step.messages.empty());
 }
 
-// The grant is delayed past its time, as when the lender is paused. Work that
-// starts on it then may run after the lender has taken the slot back.
-TEST_CASE("a grant that comes too late is sent back unused") {
+// The grant arrives after its time to live, as when the lender was paused. Work
+// started on it could still run after the lender has reclaimed the slot.
+TEST_CASE("a grant that arrives too late is returned unused") {
   loan_pair pair;
-  const auto grant = pair.ToLender(pair.Ask()).messages.at(0).message;
+  const auto grant =
+      pair.ToLender(pair.SubmitAndRequest()).messages.at(0).message;
   pair.Pass(250ms);
   const auto step = pair.ToBorrower(grant);
   CHECK(step.wakeups.empty());
@@ -134,9 +138,11 @@
   CHECK(returned);
 }
 
-TEST_CASE("a loan starts no work after its time, and its work may end then") {
+TEST_CASE(
+    "a loan starts no work after its time to live, but work may end later") {
   loan_pair pair;
-  const auto grant = pair.ToLender(pair.Ask()).messages.at(0).message;
+  const auto grant =
+      pair.ToLender(pair.SubmitAndRequest()).messages.at(0).message;
   const auto step = pair.ToBorrower(grant);
   const auto slot = std::get<slot_grant>(step.wakeups.at(0).fate);
   pair.borrower.Ask("reading", 900ms);
@@ -147,11 +153,13 @@
   CHECK(pair.borrower.slots.status(pair.now()).borrowed == 0);
 }
 
-// A process is replaced on the same instance while a loan of the earlier one
-// still runs work. Sent back by its successor, the slot would be used twice.
-TEST_CASE("a process sends back no loan of its predecessor") {
+// A process is replaced on the same instance while work of the earlier process
+// still runs on a loan. If the new process returned the loan, the slot would be
+// used twice.
+TEST_CASE("a process does not return a loan of its predecessor") {
   loan_pair pair;
-  const auto grant = pair.ToLender(pair.Ask()).messages.at(0).message;
+  const auto grant =
+      pair.ToLender(pair.SubmitAndRequest()).messages.at(0).message;
   loan_ledger successor(pair.borrower.slots, "small", pair.bounds, 3, 3);
   const auto step = successor.Receive("lender", grant, pair.now());
   for (const auto& each : step.messages)
@@ -162,32 +170,33 @@
 
 TEST_CASE("a return for an earlier process of the lender frees nothing") {
   loan_pair pair;
-  pair.ToLender(pair.Ask());
+  pair.ToLender(pair.SubmitAndRequest());
   pair.ToLender(loan_return{"small", 2, 77, 99, 1});
   CHECK(pair.LenderFree() == 1);
 }
 
-TEST_CASE("an ask waits for a slot, is answered by half its time, or refused") {
+TEST_CASE("a request gets a slot within half its time to live, or is refused") {
   loan_pair pair;
   const auto first = pair.lender.Grant();
   pair.lender.Grant();
-  CHECK(pair.ToLender(pair.Ask()).messages.empty());
+  CHECK(pair.ToLender(pair.SubmitAndRequest()).messages.empty());
   pair.Pass(10ms);
   pair.lender.Finish(first);
   const auto step = pair.lender_loans.Advance(pair.now());
   REQUIRE(step.messages.size() == 1);
   CHECK(std::holds_alternative<loan_grant>(step.messages[0].message));
-  CHECK(pair.ToLender(pair.Ask()).messages.empty());
+  CHECK(pair.ToLender(pair.SubmitAndRequest()).messages.empty());
   pair.Pass(125ms);
   const auto late = pair.lender_loans.Advance(pair.now());
   REQUIRE(late.messages.size() == 1);
   CHECK(std::holds_alternative<loan_refusal>(late.messages[0].message));
 }
 
-TEST_CASE("a renewal lets work go on unless the lender needs its slot") {
+TEST_CASE("a loan is renewed unless the lender needs its slot") {
   for (const bool needed : {false, true}) {
     loan_pair pair;
-    const auto grant = pair.ToLender(pair.Ask()).messages.at(0).message;
+    const auto grant =
+        pair.ToLender(pair.SubmitAndRequest()).messages.at(0).message;
     pair.ToBorrower(grant);
     pair.borrower.Ask("reading", 900ms);
     pair.borrower_loans.SetLenders({});
@@ -203,21 +212,22 @@
           pair.lender.Ask("reading", 900ms))) {
       }
     }
-    const auto answer = pair.ToLender(*renewal).messages.at(0).message;
-    CHECK(std::holds_alternative<loan_refusal>(answer) == needed);
+    const auto response = pair.ToLender(*renewal).messages.at(0).message;
+    CHECK(std::holds_alternative<loan_refusal>(response) == needed);
   }
 }
 
-// A faulty or hostile peer asks for a loan of centuries, or of less than none.
-TEST_CASE("lengths out of bounds are refused") {
+// A faulty or hostile peer requests a loan of centuries or of negative
+// duration.
+TEST_CASE("durations out of bounds are refused") {
   constexpr auto kHuge = std::numeric_limits<std::int64_t>::max();
   constexpr auto kTiny = std::numeric_limits<std::int64_t>::min();
   for (const auto bad : {kHuge, kTiny, std::int64_t{-1}}) {
     loan_pair pair;
-    for (const auto& ask : {loan_ask{"small", 2, 1, bad, 1000, 0},
-                            loan_ask{"small", 2, 1, 1000, bad, 0},
-                            loan_ask{"small", 2, 1, 1000, 1000, bad}}) {
-      const auto step = pair.ToLender(ask);
+    for (const auto& request : {loan_request{"small", 2, 1, bad, 1000, 0},
+                                loan_request{"small", 2, 1, 1000, bad, 0},
+                                loan_request{"small", 2, 1, 1000, 1000, bad}}) {
+      const auto step = pair.ToLender(request);
       REQUIRE(step.messages.size() == 1);
       CHECK(std::holds_alternative<loan_refusal>(step.messages[0].message));
     }
@@ -225,46 +235,49 @@
   }
 }
 
-TEST_CASE("the slot goes to whoever has waited longest, here or at a peer") {
+TEST_CASE(
+    "a slot goes to the request that has waited longest, local or of a peer") {
   loan_pair pair;
   const auto first = pair.lender.Grant();
   const auto second = pair.lender.Grant();
   pair.lender.Ask("reading", 900ms);
-  const auto older = loan_ask{"small", 2, 1, 250'000, 1'000'000, 100'000};
+  const auto older = loan_request{"small", 2, 1, 250'000, 1'000'000, 100'000};
   pair.ToLender(older);
   CHECK(pair.lender.Finish(first).empty());
   CHECK(pair.lender_loans.Advance(pair.now()).messages.size() == 1);
   pair.Pass(30ms);
-  const auto younger = loan_ask{"small", 2, 2, 250'000, 1'000'000, 0};
+  const auto younger = loan_request{"small", 2, 2, 250'000, 1'000'000, 0};
   pair.ToLender(younger);
   CHECK(pair.lender.Finish(second).size() == 1);
 }
 
-// An entry is told to stop. A seat handed over while one of its slots is lent
-// would have two users for that slot.
-TEST_CASE("a leaving entry lends no more and knows what is still out") {
+// An entry is shutting down. If it handed over a slot partition while one of
+// its slots is lent, two entries would use that slot.
+TEST_CASE("a leaving entry lends no more and counts the loans still out") {
   loan_pair pair;
-  const auto grant = pair.ToLender(pair.Ask()).messages.at(0).message;
+  const auto grant =
+      pair.ToLender(pair.SubmitAndRequest()).messages.at(0).message;
   pair.lender_loans.Leave();
   CHECK(pair.lender_loans.lent_out() == 1);
-  const auto refused = pair.ToLender(loan_ask{"small", 2, 50, 1000, 1000, 0});
+  const auto refused =
+      pair.ToLender(loan_request{"small", 2, 50, 1000, 1000, 0});
   REQUIRE(refused.messages.size() == 1);
   CHECK(std::holds_alternative<loan_refusal>(refused.messages[0].message));
   const auto& lent = As<loan_grant>(grant);
-  pair.ToLender(loan_return{"small", 2, lent.ask_id, 1, lent.loan_id});
+  pair.ToLender(loan_return{"small", 2, lent.request_id, 1, lent.loan_id});
   CHECK(pair.lender_loans.lent_out() == 0);
 }
 
-TEST_CASE("each message survives its encoding") {
-  const loan_message sent = loan_ask{"small", 1, 2, 3, 4, 5};
+TEST_CASE("a message is unchanged by encoding and decoding") {
+  const loan_message sent = loan_request{"small", 1, 2, 3, 4, 5};
   std::stringstream bytes;
   cereal::PortableBinaryOutputArchive writer(bytes);
   writer(sent);
   loan_message received;
   cereal::PortableBinaryInputArchive reader(bytes);
   reader(received);
-  const auto& ask = As<loan_ask>(received);
-  CHECK(ask.service == "small");
-  CHECK(ask.borrower_incarnation == 1);
-  CHECK(ask.waited_us == 5);
+  const auto& request = As<loan_request>(received);
+  CHECK(request.service == "small");
+  CHECK(request.borrower_incarnation == 1);
+  CHECK(request.waited_us == 5);
 }
--- a/tests/loans/loan_property_test.cc
+++ b/tests/loans/loan_property_test.cc
@@ -19,41 +19,47 @@
 constexpr std::uint32_t kEntries = 3;
 constexpr std::uint32_t kTargets = 2;
 constexpr std::uint32_t kSlotsOfTarget = 3;
-// Short against a loan's life, so that a loan used too long soon shows.
-constexpr milliseconds kLongestWork{200};
-// Chances in each millisecond.
-constexpr double kFlip = 0.003;
-constexpr double kBusy = 0.2;
-constexpr double kIdle = 0.005;
+// Shorter than the time to live of a loan, so that a loan that is used for too
+// long is soon detected.
+constexpr milliseconds kMaxWorkDuration{200};
+// Probabilities per simulated millisecond: that an entry changes between busy
+// and idle, and that a request arrives at a busy or an idle entry.
+constexpr double kLoadChangeChance = 0.003;
+constexpr double kBusyArrivalChance = 0.2;
+constexpr double kIdleArrivalChance = 0.005;
 
-// How the network and the processes of one trial behave.
-struct weather {
+// Faults of the network and the processes in one trial. `loss` and
+// `duplication` are probabilities per message, `pause` and `restart` per
+// millisecond and entry.
+struct fault_profile {
   double loss = 0;
   double duplication = 0;
   duration longest_delay{0};
   double pause = 0;
-  // Whether a process may be replaced by a new one.
+  // Probability that a process is replaced by a new one.
   double restart = 0;
   std::uint64_t seed = 0;
 };
 
-// Several entries that lend and borrow in random weather. Counts what really
-// runs at each target, whatever the entries believe.
-class fleet {
+// Simulates several entries that lend and borrow slots under random faults.
+// Counts the work that really runs at each target, independently of what the
+// entries believe.
+class loan_simulation {
  public:
-  explicit fleet(const weather& conditions)
-      : conditions_(conditions),
-        random_(conditions.seed),
+  explicit loan_simulation(const fault_profile& faults)
+      : faults_(faults),
+        random_(faults.seed),
         service_(SmallService(kTargets, kSlotsOfTarget)) {
     for (auto& each : service_.classes)
-      each.max_deadline = kLongestWork;
+      each.max_deadline = kMaxWorkDuration;
     for (std::uint32_t i = 0; i < kEntries; ++i) {
       entries_.emplace_back();
       Start(i);
     }
   }
 
-  // One millisecond: arrivals, deliveries, ends of work, pauses.
+  // Simulates one millisecond: ends of work, deliveries, pauses, arrivals and
+  // restarts.
   void Step() {
     now_ += 1ms;
     EndWork();
@@ -62,20 +68,20 @@
       auto& entry = entries_[i];
       if (entry.paused_until > now_)
         continue;
-      if (Chance(conditions_.pause)) {
-        entry.paused_until = now_ + Length(800ms);
+      if (Chance(faults_.pause)) {
+        entry.paused_until = now_ + RandomDuration(800ms);
         continue;
       }
-      TakeSeats(i);
-      // Entries are busy and idle in turn, so that each lends slots that it
-      // soon needs back.
-      if (Chance(kFlip))
+      AcquireSlots(i);
+      // Entries alternate between busy and idle, so that each of them lends
+      // slots that it soon needs back.
+      if (Chance(kLoadChangeChance))
         entry.busy = !entry.busy;
-      if (Chance(entry.busy ? kBusy : kIdle))
+      if (Chance(entry.busy ? kBusyArrivalChance : kIdleArrivalChance))
         Submit(i);
       Apply(i, entry.slots->Tick(now_));
-      Carry(i, entry.loans->Advance(now_));
-      if (Chance(conditions_.restart))
+      Send(i, entry.loans->Advance(now_));
+      if (Chance(faults_.restart))
         Restart(i);
     }
   }
@@ -88,7 +94,8 @@
     std::unique_ptr<service_dispatcher> slots;
     std::unique_ptr<loan_ledger> loans;
     time_point paused_until;
-    // A new process waits out its predecessor's work and loans.
+    // A new process owns slots only after its predecessor's work and loans have
+    // ended.
     time_point owns_from;
     bool owns = false;
     bool busy = false;
@@ -101,7 +108,7 @@
     time_point deadline;
     bool ended_at_target = false;
   };
-  struct letter {
+  struct message_in_flight {
     time_point arrives;
     std::uint32_t from = 0;
     std::uint32_t to = 0;
@@ -111,7 +118,7 @@
   bool Chance(double probability) {
     return std::uniform_real_distribution<>(0, 1)(random_) < probability;
   }
-  duration Length(duration longest) {
+  duration RandomDuration(duration longest) {
     return duration(std::uniform_int_distribution<duration::rep>(
         0, std::max<duration::rep>(longest.count(), 1))(random_));
   }
@@ -136,12 +143,13 @@
     entry.owns = false;
   }
 
-  // Work of the old process goes on at its target until it ends.
+  // The old process is gone, but its work continues at the targets until it
+  // ends.
   void Restart(std::uint32_t i) {
     Start(i);
     const limits bounds;
     entries_[i].owns_from =
-        now_ + bounds.loan_ttl + bounds.clock_drift + kLongestWork;
+        now_ + bounds.loan_ttl + bounds.clock_drift + kMaxWorkDuration;
     for (auto& each : running_) {
       if (each.entry == i)
         each.incarnation = 0;
@@ -149,7 +157,7 @@
     requests_.erase(i);
   }
 
-  void TakeSeats(std::uint32_t i) {
+  void AcquireSlots(std::uint32_t i) {
     auto& entry = entries_[i];
     if (entry.owns || now_ < entry.owns_from)
       return;
@@ -163,18 +171,19 @@
     request.request_class = &service_.classes[0];
     request.home_region = "home";
     request.arrived = now_;
-    request.deadline = now_ + (Chance(0.5) ? kLongestWork : 100ms);
+    request.deadline = now_ + (Chance(0.5) ? kMaxWorkDuration : 100ms);
     requests_[i][request.id] = request.deadline;
     const auto decision = entries_[i].slots->Submit(request, now_);
     if (const auto* grant = std::get_if<slot_grant>(&decision))
-      Begin(i, *grant);
+      StartWork(i, *grant);
   }
 
-  void Begin(std::uint32_t i, const slot_grant& grant) {
+  void StartWork(std::uint32_t i, const slot_grant& grant) {
     const auto deadline = requests_[i].at(grant.request_id);
-    // Work ends by its deadline at the latest: the target stops it then.
-    const auto ends =
-        Chance(0.5) ? deadline : std::min(deadline, now_ + Length(100ms));
+    // Work ends at its deadline at the latest, when the target stops it.
+    const auto ends = Chance(0.5)
+                          ? deadline
+                          : std::min(deadline, now_ + RandomDuration(100ms));
     running_.push_back({i, 1, grant, ends, deadline, false});
     if (grant.loan_id)
       ++borrowed_work_;
@@ -182,7 +191,7 @@
   }
 
   void EndWork() {
-    std::vector<work> told;
+    std::vector<work> notified;
     for (auto& each : running_) {
       if (each.ends > now_)
         continue;
@@ -190,14 +199,14 @@
         each.ended_at_target = true;
         --on_target_[each.grant.target];
       }
-      // A paused entry hears of the end only when it goes on.
+      // A paused entry is notified of the end only when it resumes.
       if (entries_[each.entry].paused_until <= now_)
-        told.push_back(each);
+        notified.push_back(each);
     }
     std::erase_if(running_, [&](const work& each) {
       return each.ended_at_target && entries_[each.entry].paused_until <= now_;
     });
-    for (const auto& each : told) {
+    for (const auto& each : notified) {
       if (each.incarnation == 0)
         continue;
       Apply(each.entry, entries_[each.entry].slots->Finish(
@@ -208,46 +217,46 @@
   void Apply(std::uint32_t i, const std::vector<wakeup>& wakeups) {
     for (const auto& each : wakeups) {
       if (const auto* grant = std::get_if<slot_grant>(&each.fate))
-        Begin(i, *grant);
+        StartWork(i, *grant);
     }
   }
 
-  void Carry(std::uint32_t i, const loan_step& step) {
+  void Send(std::uint32_t i, const loan_step_result& step) {
     Apply(i, step.wakeups);
     for (const auto& each : step.messages) {
       const std::uint32_t to = static_cast<std::uint32_t>(each.to.back() - '0');
-      int copies = Chance(conditions_.loss) ? 0 : 1;
-      copies += Chance(conditions_.duplication) ? 1 : 0;
+      int copies = Chance(faults_.loss) ? 0 : 1;
+      copies += Chance(faults_.duplication) ? 1 : 0;
       for (int copy = 0; copy < copies; ++copy) {
-        // Random delays reorder.
-        letters_.push_back(
-            {now_ + Length(conditions_.longest_delay), i, to, each.message});
+        // Random delays also reorder messages.
+        in_flight_.push_back({now_ + RandomDuration(faults_.longest_delay), i,
+                              to, each.message});
       }
     }
   }
 
   void Deliver() {
-    std::vector<letter> due;
-    std::erase_if(letters_, [&](const letter& each) {
-      // Letters to a paused process wait in its socket.
+    std::vector<message_in_flight> due;
+    std::erase_if(in_flight_, [&](const message_in_flight& each) {
+      // Messages to a paused process wait in its socket buffer.
       if (each.arrives > now_ || entries_[each.to].paused_until > now_)
         return false;
       due.push_back(each);
       return true;
     });
     for (const auto& each : due) {
-      Carry(each.to, entries_[each.to].loans->Receive(NameOfEntry(each.from),
-                                                      each.message, now_));
+      Send(each.to, entries_[each.to].loans->Receive(NameOfEntry(each.from),
+                                                     each.message, now_));
     }
   }
 
-  weather conditions_;
+  fault_profile faults_;
   std::mt19937_64 random_;
   service service_;
   time_point now_{std::chrono::hours(1)};
   std::vector<entry_state> entries_;
   std::vector<work> running_;
-  std::vector<letter> letters_;
+  std::vector<message_in_flight> in_flight_;
   std::map<std::uint32_t, std::map<std::uint64_t, time_point>> requests_;
   std::map<std::string, std::uint32_t> on_target_;
   std::uint64_t incarnation_ = 0;
@@ -258,27 +267,27 @@
 
 }  // namespace
 
-// Messages between entries are lost, late, doubled and out of order, processes
-// stand still for most of a second and are replaced. If a slot were ever used
-// by two entries, a target would run more than it can, and every caller there
-// would wait longer.
-TEST_CASE("no weather makes a target run more than its slots") {
+// Messages between entries are lost, delayed, duplicated and reordered;
+// processes pause for most of a second and are replaced. If two entries ever
+// used the same slot, a target would run more work than it has slots, and all
+// its callers would wait longer.
+TEST_CASE("no combination of faults makes a target exceed its slots") {
   std::uint64_t borrowed = 0;
-  const bool held = rc::check([&] {
-    weather conditions;
-    conditions.loss = *rc::gen::inRange(0, 40) / 100.0;
-    conditions.duplication = *rc::gen::inRange(0, 40) / 100.0;
-    conditions.longest_delay = milliseconds(*rc::gen::inRange(1, 200));
-    conditions.pause = *rc::gen::inRange(0, 40) / 10'000.0;
-    conditions.restart = *rc::gen::inRange(0, 6) / 10'000.0;
-    conditions.seed = *rc::gen::arbitrary<std::uint64_t>();
-    fleet entries(conditions);
+  const bool holds = rc::check([&] {
+    fault_profile faults;
+    faults.loss = *rc::gen::inRange(0, 40) / 100.0;
+    faults.duplication = *rc::gen::inRange(0, 40) / 100.0;
+    faults.longest_delay = milliseconds(*rc::gen::inRange(1, 200));
+    faults.pause = *rc::gen::inRange(0, 40) / 10'000.0;
+    faults.restart = *rc::gen::inRange(0, 6) / 10'000.0;
+    faults.seed = *rc::gen::arbitrary<std::uint64_t>();
+    loan_simulation entries(faults);
     for (int step = 0; step < 10'000; ++step)
       entries.Step();
     borrowed += entries.borrowed_work();
     RC_ASSERT(entries.most_running() <= kSlotsOfTarget);
   });
-  CHECK(held);
-  // The property is empty if nothing was ever lent.
+  CHECK(holds);
+  // The property would hold trivially if nothing had been lent.
   CHECK(borrowed > 10'000);
 }
