--- a/bench/decisions/direct_region.cc
+++ b/bench/decisions/direct_region.cc
@@ -7,60 +7,62 @@
 
 direct_region::direct_region(const scenario& input,
                              event_queue& events,
-                             recorder& results,
+                             outcome_counter& results,
                              run_report& report)
     : input_(input),
       events_(events),
       results_(results),
       report_(report),
       random_(input.seed + 4),
-      turn_(workload::kEntries) {
+      next_queue_(workload::kEntries) {
   if (input.strategy == strategy::kCentralQueue) {
-    servers_.resize(1);
-    servers_[0].slots = workload::kSlots;
+    queues_.resize(1);
+    queues_[0].slots = workload::kSlots;
     return;
   }
-  servers_.resize(workload::kTargets);
-  for (auto& each : servers_)
-    each.slots = workload::kSlotsOfTarget;
-  servers_[0].factor = input.slow_factor;
-  // Entries don't start in step with each other.
-  for (std::size_t i = 0; i < turn_.size(); ++i)
-    turn_[i] = i;
+  queues_.resize(workload::kTargets);
+  for (auto& each : queues_)
+    each.slots = workload::kSlotsPerTarget;
+  queues_[0].time_factor = input.slow_factor;
+  // Each entry begins its round at another target, so that the entries do not
+  // all load the same target at a time.
+  for (std::size_t i = 0; i < next_queue_.size(); ++i)
+    next_queue_[i] = i;
 }
 
-void direct_region::Arrive(const request_ptr& request) {
+void direct_region::HandleArrival(const request_ptr& request) {
   results_.OnArrival(*request);
-  auto& at = Pick(*request);
-  at.waiting.push_back(request);
-  Serve(at);
+  auto& queue = PickQueue(*request);
+  queue.waiting.push_back(request);
+  StartQueuedRequests(queue);
 }
 
-direct_region::server& direct_region::Pick(const simulated_request& request) {
-  if (servers_.size() == 1)
-    return servers_[0];
+direct_region::service_queue& direct_region::PickQueue(
+    const simulated_request& request) {
+  if (queues_.size() == 1)
+    return queues_[0];
   if (input_.strategy == strategy::kRoundRobin)
-    return servers_[turn_[request.entry]++ % servers_.size()];
-  std::uniform_int_distribution<std::size_t> draw(0, servers_.size() - 1);
-  return servers_[draw(random_)];
+    return queues_[next_queue_[request.entry]++ % queues_.size()];
+  std::uniform_int_distribution<std::size_t> draw(0, queues_.size() - 1);
+  return queues_[draw(random_)];
 }
 
-void direct_region::Serve(server& at) {
-  while (at.running < at.slots && !at.waiting.empty()) {
-    const auto request = at.waiting.front();
-    at.waiting.pop_front();
-    const auto takes =
-        std::chrono::duration_cast<duration>(request->service * at.factor);
-    if (events_.now() + takes > request->deadline) {
+void direct_region::StartQueuedRequests(service_queue& queue) {
+  while (queue.running < queue.slots && !queue.waiting.empty()) {
+    const auto request = queue.waiting.front();
+    queue.waiting.pop_front();
+    const auto run_time = std::chrono::duration_cast<duration>(
+        request->slot_time * queue.time_factor);
+    if (events_.now() + run_time > request->deadline) {
       results_.OnRefusal(*request, result_code::kQueueExpired);
       continue;
     }
     results_.OnStart(*request, events_.now());
-    report_.most_on_target = std::max(report_.most_on_target, ++at.running);
-    events_.After(takes, [this, &at, request] {
-      --at.running;
+    report_.max_on_target = std::max(report_.max_on_target, ++queue.running);
+    events_.After(run_time, [this, &queue, request] {
+      --queue.running;
       results_.OnEnd(*request, true, events_.now());
-      Serve(at);
+      StartQueuedRequests(queue);
     });
   }
 }
--- a/bench/decisions/event_queue.h
+++ b/bench/decisions/event_queue.h
@@ -11,12 +11,15 @@
 
 namespace samphire {
 
-// Simulated time: events run in the order of their times, and of their making
-// where the times are equal.
+// Discrete-event scheduler with a simulated clock. Events run in the order of
+// their times, and in the order of scheduling where the times are equal, which
+// makes runs reproducible. Single-threaded.
 class event_queue {
  public:
+  // The simulated time: that of the event which runs or ran last.
   time_point now() const { return now_; }
 
+  // Runs `action` at `when`, or at the present time if that has passed.
   void At(time_point when, std::function<void()> action) {
     events_.push({std::max(when, now_), next_number_++, std::move(action)});
   }
@@ -24,6 +27,8 @@
     At(now_ + delay, std::move(action));
   }
 
+  // Runs the events up to and including `end`, with those that they schedule.
+  // Later events are kept.
   void RunUntil(time_point end) {
     while (!events_.empty() && events_.top().when <= end) {
       auto action = std::move(const_cast<event&>(events_.top()).action);
@@ -39,12 +44,14 @@
     std::uint64_t number = 0;
     std::function<void()> action;
 
+    // Inverted: std::priority_queue puts the greatest element on top.
     bool operator<(const event& other) const {
       return std::pair(when, number) > std::pair(other.when, other.number);
     }
   };
   std::priority_queue<event> events_;
-  // Not zero: an unset time is taken as "never" in places.
+  // The clock does not start at zero, since some of the simulated code takes a
+  // default-constructed time for "never".
   time_point now_{std::chrono::hours(1)};
   std::uint64_t next_number_ = 0;
 };
--- a/bench/decisions/region_run.cc
+++ b/bench/decisions/region_run.cc
@@ -3,7 +3,7 @@
 #include "decisions/direct_region.h"
 #include "decisions/dispatched_region.h"
 #include "decisions/event_queue.h"
-#include "decisions/recorder.h"
+#include "decisions/outcome_counter.h"
 #include "decisions/workload.h"
 
 namespace samphire {
@@ -13,7 +13,7 @@
 template <typename Region>
 void Run(const scenario& input, event_queue& events, Region& region) {
   workload requests(input, events, [&](const request_ptr& request) {
-    region.Arrive(request);
+    region.HandleArrival(request);
   });
   requests.Start();
   events.RunUntil(events.now() + input.length);
@@ -28,14 +28,14 @@
   const duration warm_up = input.length / 10;
   report.capacity =
       (input.length - warm_up) * static_cast<std::int64_t>(workload::kSlots);
-  recorder results(report, events.now() + warm_up);
+  outcome_counter results(report, events.now() + warm_up);
   const bool direct = input.strategy == strategy::kCentralQueue ||
                       input.strategy == strategy::kRoundRobin ||
                       input.strategy == strategy::kRandom;
   if (!direct) {
     dispatched_region region(input, events, results, report);
     Run(input, events, region);
-    region.Close();
+    region.AddEntryCounts();
   } else {
     direct_region region(input, events, results, report);
     Run(input, events, region);
--- a/bench/decisions/region_run.h
+++ b/bench/decisions/region_run.h
@@ -6,7 +6,8 @@
 
 namespace samphire {
 
-// Runs the scenario and says what came of it.
+// Simulates the scenario in simulated time and returns its results, which are
+// the same for the same scenario. Runs on the calling thread.
 run_report RunRegion(const scenario& input);
 
 }  // namespace samphire
--- a/bench/decisions/run_report.cc
+++ b/bench/decisions/run_report.cc
@@ -15,11 +15,13 @@
   return std::chrono::duration<double, std::milli>(length).count();
 }
 
+// The count over the interactive requests that arrived.
 double PerRequest(std::uint64_t count, const run_report& report) {
   const auto arrived = report.interactive.arrived;
   return arrived == 0 ? 0 : static_cast<double>(count) / arrived;
 }
 
+// Refusals by result code: a JSON object, or CODE=COUNT separated by spaces.
 std::string Refusals(const group_report& group, bool json) {
   std::string text;
   for (const auto& [reason, count] : group.refused) {
@@ -52,16 +54,17 @@
 }
 
 double run_report::goodput() const {
-  return Ms(interactive.useful + bulk.useful) / Ms(capacity);
+  return Ms(interactive.useful_slot_time + bulk.useful_slot_time) /
+         Ms(capacity);
 }
 
 double QuantileMs(std::vector<duration> samples, double rank) {
   if (samples.empty())
     return 0;
   const auto index = static_cast<std::size_t>(rank * (samples.size() - 1));
-  const auto place = samples.begin() + static_cast<long>(index);
-  std::nth_element(samples.begin(), place, samples.end());
-  return Ms(*place);
+  const auto position = samples.begin() + static_cast<long>(index);
+  std::nth_element(samples.begin(), position, samples.end());
+  return Ms(*position);
 }
 
 std::string TableHead() {
@@ -96,11 +99,12 @@
       JsonQuote(report.input.name),
       JsonQuote(NameOf(kStrategyNames, report.input.strategy)),
       report.input.load, report.input.busiest_share, report.goodput(),
-      PerRequest(report.loans, report), PerRequest(report.asks, report),
-      PerRequest(report.loan_messages, report), report.most_on_target,
-      report.most_shifted, JsonGroup(report.interactive),
-      JsonGroup(report.home), JsonGroup(report.shifted), JsonGroup(report.high),
-      JsonGroup(report.low), JsonGroup(report.bulk));
+      PerRequest(report.loans, report),
+      PerRequest(report.loan_requests, report),
+      PerRequest(report.loan_messages, report), report.max_on_target,
+      report.max_shifted, JsonGroup(report.interactive), JsonGroup(report.home),
+      JsonGroup(report.shifted), JsonGroup(report.high), JsonGroup(report.low),
+      JsonGroup(report.bulk));
 }
 
 }  // namespace samphire
--- a/bench/decisions/run_report.h
+++ b/bench/decisions/run_report.h
@@ -11,15 +11,18 @@
 
 namespace samphire {
 
-// What came of one group of a run's requests.
+// Outcomes of one group of a run's requests, without those of the warm-up.
 struct group_report {
   std::uint64_t arrived = 0;
   std::uint64_t started = 0;
   std::uint64_t in_time = 0;
-  // Started, but not answered by the deadline.
+  // Started, but not completed by the deadline.
   std::uint64_t late = 0;
-  // Slot time of what was answered in time.
-  duration useful{0};
+  // Slot time of the requests that completed by their deadlines, as it would be
+  // on a target of usual speed.
+  duration useful_slot_time{0};
+  // From arrival to the start of each started request, and from arrival to the
+  // end of each ended one.
   std::vector<duration> waits;
   std::vector<duration> latencies;
   std::map<result_code, std::uint64_t> refused;
@@ -27,35 +30,44 @@
   std::uint64_t refused_total() const;
 };
 
-// What came of one run.
+// Results of one run.
 struct run_report {
   scenario input;
   group_report interactive;
   group_report bulk;
-  // Interactive work of the region's own callers, and parts of it.
+  // Parts of the interactive requests: those of the region's own callers, those
+  // of high and of low priority, and those shifted from the lost region.
   group_report home;
   group_report high;
   group_report low;
   group_report shifted;
+  // Over all entries and the whole run: slots borrowed, requests for a loan,
+  // and messages of the loan protocol.
   std::uint64_t loans = 0;
-  std::uint64_t asks = 0;
+  std::uint64_t loan_requests = 0;
   std::uint64_t loan_messages = 0;
-  // The most requests that ran at once on one target, and of the shift.
-  std::uint32_t most_on_target = 0;
-  std::uint32_t most_shifted = 0;
-  std::uint64_t to_slow_target = 0;
-  // Slot time that was on offer.
+  // The highest number of requests that ran at once on any one target, and of
+  // shifted requests that ran at once.
+  std::uint32_t max_on_target = 0;
+  std::uint32_t max_shifted = 0;
+  // Requests placed on the first target, the one that slow_factor slows down.
+  std::uint64_t sent_to_slow_target = 0;
+  // Slot time on offer: all slots times the counted length of the run.
   duration capacity{0};
 
-  // Useful slot time over that on offer.
+  // Slot time of requests completed in time, as a share of `capacity`.
   double goodput() const;
 };
 
-// The sample at this rank, in milliseconds; 0 without samples.
+// Returns the sample at this rank (0 to 1, so 0.99 is the 99th percentile) in
+// milliseconds, or 0 without samples.
 double QuantileMs(std::vector<duration> samples, double rank);
 
+// The report as text for people: heading and one row for a run, each with its
+// line break.
 std::string TableHead();
 std::string TableRow(const run_report& report);
+// The report as one JSON object, without a line break.
 std::string JsonLine(const run_report& report);
 
 }  // namespace samphire
--- a/bench/decisions/strategy.h
+++ b/bench/decisions/strategy.h
@@ -5,18 +5,21 @@
 
 namespace samphire {
 
-// How the simulated region decides.
+// How the simulated region assigns requests to slots.
 enum class strategy {
-  // One queue for all, which knows every slot at once: the limit.
+  // One queue for all requests, with instant knowledge of every slot: the best
+  // that any strategy can reach.
   kCentralQueue,
-  // Straight to a target, which queues.
+  // Entries send each request straight to a target, which queues it.
   kRoundRobin,
   kRandom,
-  // Each entry keeps to its own slots.
+  // Each entry uses only the slots that it owns.
   kStaticShares,
-  // As the product does.
+  // Each entry owns slots and borrows free ones of its peers, as the system
+  // does
+  // in production.
   kLoans,
-  // The product's decisions at a single entry that owns every slot.
+  // The production dispatcher in a single entry that owns every slot.
   kOneEntry,
 };
 
--- a/bench/lookup_snapshot.cc
+++ b/bench/lookup_snapshot.cc
@@ -1,7 +1,9 @@
-// Look-ups a second on one core, bytes a block and build time of the table
-// from client blocks to sites, at four sizes, with straight-line fits; then
-// whole answers a second. Fails when a block takes 24 bytes or more, or when
-// the table is not faster than a plain binary search in the same run.
+// Measures the prefix table from client blocks to destinations at four sizes:
+// look-ups per second on one core, bytes per block and build time, with
+// straight-line fits over the sizes; then complete look-up responses per
+// second. Fails when a block takes 24 bytes or more, or when the table is not
+// clearly faster than a plain binary search in the same run. scripts/capacity
+// reads the "blocks" and "fit:" lines.
 //   bench_lookup_snapshot --blocks=1900000 --sites=4100
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -26,35 +28,42 @@
 ABSL_FLAG(std::uint32_t,
           blocks,
           1'900'000,
-          "client blocks at the largest size");
-ABSL_FLAG(std::uint32_t, sites, 4100, "destinations");
-ABSL_FLAG(std::uint32_t, lookups, 4'000'000, "look-ups a size");
-ABSL_FLAG(std::uint32_t, ipv6_percent, 30, "share of IPv6 blocks");
-ABSL_FLAG(std::uint64_t, seed, 20261202, "seed of the blocks and callers");
+          "number of client blocks at the largest size");
+ABSL_FLAG(std::uint32_t, sites, 4100, "number of destinations");
+ABSL_FLAG(std::uint32_t, lookups, 4'000'000, "look-ups at each size");
+ABSL_FLAG(std::uint32_t, ipv6_percent, 30, "share of IPv6 blocks, in percent");
+ABSL_FLAG(std::uint64_t,
+          seed,
+          20261202,
+          "seed of the random blocks and callers");
 
 namespace samphire {
 
 namespace {
 
-using engine = std::mt19937_64;
+using random_engine = std::mt19937_64;
 
+// Results at one size.
 struct measurement {
   double blocks = 0;
   double bytes = 0;
   double build_seconds = 0;
   double lookups_per_second = 0;
-  double plain_per_second = 0;
-  // Keeps the look-ups from being optimised away.
+  double binary_searches_per_second = 0;
+  // Sum of the results, which keeps the compiler from removing the look-ups.
   std::uint64_t checksum = 0;
 };
 
+// A small instance can hold 1.9 million blocks at this size. Exclusive.
 constexpr double kMaxBytesPerBlock = 24;
-// Measured ratios lie well above; below this the levels would be no use.
-constexpr double kMinRatioToPlain = 1.2;
-
-// Prefix lengths as they are met: mostly /24 and /48, some far shorter, so
-// that blocks nest.
-prefix_route RandomRoute(engine& random) {
+// Lower bound of the table's look-up rate over that of a plain binary search.
+// The usual ratio lies well above; below this bound the levels of range_table
+// would bring no benefit.
+constexpr double kMinRatioToBinarySearch = 1.2;
+
+// Draws a block with prefix lengths as they occur in practice: mostly /24 and
+// /48, some far shorter, so that blocks nest.
+prefix_route RandomRoute(random_engine& random) {
   constexpr std::array<int, 8> kIpv4Lengths{24, 24, 24, 24, 22, 20, 16, 28};
   constexpr std::array<int, 8> kIpv6Lengths{48, 48, 48, 56, 64, 40, 32, 48};
   prefix_route route;
@@ -77,9 +86,10 @@
   return route;
 }
 
-// Three of four callers come from a declared block, as in life.
+// Draws caller addresses. Three of four lie in a declared block, as in real
+// traffic.
 std::vector<ip_address> RandomCallers(const std::vector<prefix_route>& routes,
-                                      engine& random) {
+                                      random_engine& random) {
   constexpr std::size_t kCallers = 1 << 20;
   std::vector<ip_address> callers;
   callers.reserve(kCallers);
@@ -97,9 +107,10 @@
       .count();
 }
 
-// The baseline: std::upper_bound over as many sorted keys as there are blocks.
-double PlainSearchesPerSecond(const std::vector<prefix_route>& routes,
-                              const std::vector<ip_address>& callers) {
+// Measures the baseline: std::upper_bound over as many sorted 64-bit keys as
+// there are blocks. Returns searches per second.
+double BinarySearchesPerSecond(const std::vector<prefix_route>& routes,
+                               const std::vector<ip_address>& callers) {
   const auto key_of = [](const ip_address& address) {
     std::uint64_t key = 0;
     std::memcpy(&key, &address[8], sizeof(key));
@@ -124,11 +135,12 @@
   return checksum == 0 ? 0 : rate;
 }
 
-// The fleet of two years from now: 2,800 entries in 24 regions.
-void MeasureAnswers() {
+// Measures complete look-up responses, from address to JSON text, for the fleet
+// size expected in two years: 2,800 entries in 24 regions.
+void MeasureResponses() {
   constexpr int kRegions = 24;
   constexpr int kEntries = 2800;
-  constexpr int kAnswers = 100'000;
+  constexpr int kResponses = 100'000;
   declaration declared;
   std::vector<live_entry> entries;
   entries.reserve(kEntries);
@@ -141,42 +153,46 @@
   }
   const lookup_snapshot snapshot(declared, 1);
   const entry_directory directory(entries);
-  engine random(absl::GetFlag(FLAGS_seed));
+  random_engine random(absl::GetFlag(FLAGS_seed));
   std::size_t bytes = 0;
   const auto start = std::chrono::steady_clock::now();
-  for (int i = 0; i < kAnswers; ++i) {
-    bytes += WriteLookupAnswer(ComposeLookupAnswer(snapshot, directory,
-                                                   RandomRoute(random).address))
-                 .size();
+  for (int i = 0; i < kResponses; ++i) {
+    bytes +=
+        WriteLookupResponse(ComposeLookupResponse(snapshot, directory,
+                                                  RandomRoute(random).address))
+            .size();
   }
-  const double rate = kAnswers / SecondsSince(start);
+  const double rate = kResponses / SecondsSince(start);
   fmt::print("answers/s {:.0f} with {} entries, {} bytes each\n", rate,
-             kEntries, bytes / kAnswers);
+             kEntries, bytes / kResponses);
 }
 
+// Builds a table of that many blocks and measures it.
 measurement Measure(std::uint32_t blocks) {
-  engine random(absl::GetFlag(FLAGS_seed));
+  random_engine random(absl::GetFlag(FLAGS_seed));
   std::vector<prefix_route> routes;
   for (std::uint32_t i = 0; i < blocks; ++i)
     routes.push_back(RandomRoute(random));
   const auto callers = RandomCallers(routes, random);
 
-  measurement taken;
-  taken.blocks = blocks;
+  measurement measured;
+  measured.blocks = blocks;
   const auto build_start = std::chrono::steady_clock::now();
   const prefix_table table(routes);
-  taken.build_seconds = SecondsSince(build_start);
-  taken.bytes = static_cast<double>(table.bytes());
+  measured.build_seconds = SecondsSince(build_start);
+  measured.bytes = static_cast<double>(table.bytes());
 
   const auto lookups = absl::GetFlag(FLAGS_lookups);
   const auto start = std::chrono::steady_clock::now();
   for (std::uint32_t i = 0; i < lookups; ++i)
-    taken.checksum += table.Find(callers[i % callers.size()]);
-  taken.lookups_per_second = lookups / SecondsSince(start);
-  taken.plain_per_second = PlainSearchesPerSecond(routes, callers);
-  return taken;
+    measured.checksum += table.Find(callers[i % callers.size()]);
+  measured.lookups_per_second = lookups / SecondsSince(start);
+  measured.binary_searches_per_second =
+      BinarySearchesPerSecond(routes, callers);
+  return measured;
 }
 
+// Fits a straight line to one value over the number of blocks.
 line_fit FitOf(const std::vector<measurement>& all,
                double measurement::*value) {
   std::vector<std::pair<double, double>> points;
@@ -186,6 +202,7 @@
   return FitLine(points);
 }
 
+// Returns whether size and speed keep to their bounds.
 bool Run() {
   std::vector<measurement> all;
   for (const std::uint32_t divisor : {8, 4, 2, 1}) {
@@ -194,7 +211,7 @@
     fmt::print(
         "blocks {:>8.0f}  look-ups/s {:>9.0f}  plain {:>9.0f}  bytes/block "
         "{:>5.2f}  build {:.3f} s  checksum {}\n",
-        one.blocks, one.lookups_per_second, one.plain_per_second,
+        one.blocks, one.lookups_per_second, one.binary_searches_per_second,
         one.bytes / one.blocks, one.build_seconds, one.checksum);
   }
   const auto bytes = FitOf(all, &measurement::bytes);
@@ -203,10 +220,10 @@
              bytes.slope);
   fmt::print("fit: build = {:.3f} s + {:.0f} ns a block\n", build.start,
              build.slope * 1e9);
-  MeasureAnswers();
+  MeasureResponses();
   return all.back().bytes < kMaxBytesPerBlock * all.back().blocks &&
          all.back().lookups_per_second >
-             kMinRatioToPlain * all.back().plain_per_second;
+             kMinRatioToBinarySearch * all.back().binary_searches_per_second;
 }
 
 }  // namespace
@@ -214,7 +231,7 @@
 }  // namespace samphire
 
 int main(int argc, char** argv) {
-  absl::SetProgramUsageMessage("Measures the look-up table.");
+  absl::SetProgramUsageMessage("Measures the prefix table behind look-ups.");
   absl::ParseCommandLine(argc, argv);
   return samphire::Run() ? 0 : 1;
 }
--- a/src/libsamphire/gateway/deployment.cc
+++ b/src/libsamphire/gateway/deployment.cc
@@ -28,7 +28,7 @@
 
 deployment::deployment(samphire::declaration frame,
                        std::uint64_t version,
-                       block_table_ptr blocks)
+                       home_region_table_ptr blocks)
     : declared_(std::move(frame)),
       version_(version),
       lookups_(declared_, version, std::move(blocks)) {
@@ -83,7 +83,8 @@
 
 std::vector<std::string> deployment::RegionsOf(const service& whole,
                                                std::string_view home) const {
-  std::vector<std::string> regions = lookups_.order().From(home);
+  std::vector<std::string> regions =
+      lookups_.order().RegionsByLatencyFrom(home);
   std::erase_if(regions, [&](const auto& region) {
     return PartOf(whole, region).targets.empty();
   });
--- a/src/libsamphire/gateway/deployment.h
+++ b/src/libsamphire/gateway/deployment.h
@@ -23,7 +23,7 @@
   // `frame` is the declaration without its client blocks.
   deployment(samphire::declaration frame,
              std::uint64_t version,
-             block_table_ptr blocks);
+             home_region_table_ptr blocks);
 
   std::uint64_t version() const { return version_; }
   // Without client blocks.
--- a/src/libsamphire/gateway/deployment_keeper.cc
+++ b/src/libsamphire/gateway/deployment_keeper.cc
@@ -38,13 +38,13 @@
 
 // With 1.9 million blocks a table takes about half a second of processor time
 // to build, and a change comes every four seconds; most changes touch no block.
-block_table_ptr deployment_keeper::BlocksOf(const config_image& image) {
+home_region_table_ptr deployment_keeper::BlocksOf(const config_image& image) {
   if (!blocks_ || blocks_ref_ != image.blocks_ref()) {
-    blocks_ =
-        new block_table(image.frame().regions,
-                        [&image](const block_table::block_visitor& visit) {
-                          image.ForEachClientBlock(visit);
-                        });
+    blocks_ = new home_region_table(
+        image.frame().regions,
+        [&image](const home_region_table::block_visitor& visit) {
+          image.ForEachClientBlock(visit);
+        });
     blocks_ref_ = image.blocks_ref();
     metrics_.Count("block_tables_built_total");
   }
--- a/src/libsamphire/gateway/deployment_keeper.h
+++ b/src/libsamphire/gateway/deployment_keeper.h
@@ -32,7 +32,7 @@
   void Tick();
 
  private:
-  block_table_ptr BlocksOf(const config_image& image);
+  home_region_table_ptr BlocksOf(const config_image& image);
   void CloseTargets(const deployment& present);
   // Looks which of the targets that were closed have nothing running any more.
   void TimeDrains(const std::string& service, const service_gate& gate);
@@ -42,7 +42,7 @@
   const clock_source& clock_;
   metrics& metrics_;
   // Of the follower's thread alone: the last table and what it was built of.
-  block_table_ptr blocks_;
+  home_region_table_ptr blocks_;
   std::string blocks_ref_;
   std::mutex lock_;
   // "SERVICE.TARGET" of targets that the platform lists as leaving or gone.
--- a/src/libsamphire/gateway/lookup_handler.cc
+++ b/src/libsamphire/gateway/lookup_handler.cc
@@ -70,8 +70,8 @@
                            : query.client);
   if (!address)
     return MakeError(result_code::kBadClientAddress, query.client);
-  return WriteLookupAnswer(
-      ComposeLookupAnswer(present->lookups(), *entries, *address));
+  return WriteLookupResponse(
+      ComposeLookupResponse(present->lookups(), *entries, *address));
 }
 
 }  // namespace samphire
--- a/src/libsamphire/steering/destination.h
+++ b/src/libsamphire/steering/destination.h
@@ -6,9 +6,11 @@
 
 namespace samphire {
 
-// The number of a place that callers are sent to.
+// The value that a look-up table gives for a key: an index into a list that the
+// user of the table keeps, such as the regions of a declaration.
 using destination = std::uint16_t;
 
+// Stands for keys that no prefix or range contains; no valid index.
 inline constexpr destination kNoDestination =
     std::numeric_limits<destination>::max();
 
--- a/src/libsamphire/steering/entry_directory.cc
+++ b/src/libsamphire/steering/entry_directory.cc
@@ -8,25 +8,27 @@
 
 namespace {
 
+// Entries with a load below `below_load` get `weight`.
 struct weight_step {
   double below_load;
   double weight;
 };
 
-// Loads are seconds old and wobble. With weights that follow them closely,
-// callers would all move to the entry that was idle a moment ago and back; so
-// only an entry that is clearly busier than usual gets fewer callers, in two
-// steps. A full one still gets a few: the report may be wrong, and an entry
-// that nobody asks has no fresh load to show.
+// Reported loads are seconds old and fluctuate. Weights that followed them
+// closely would make callers oscillate: all would move to the entry that was
+// idle a moment ago, and back. So only an entry that is clearly busier than
+// usual gets fewer callers, in two steps. A saturated entry still gets a few:
+// the report may be wrong, and an entry without callers has no fresh load to
+// report.
 constexpr std::array<weight_step, 2> kWeightSteps{{{0.75, 1.0}, {0.95, 0.5}}};
-constexpr double kFullWeight = 0.125;
+constexpr double kSaturatedWeight = 0.125;
 
 double WeightOf(double load) {
   for (const auto& step : kWeightSteps) {
     if (load < step.below_load)
       return step.weight;
   }
-  return kFullWeight;
+  return kSaturatedWeight;
 }
 
 }  // namespace
@@ -42,7 +44,7 @@
   }
 }
 
-const std::vector<entry_directory::candidate>& entry_directory::In(
+const std::vector<entry_directory::candidate>& entry_directory::EntriesIn(
     std::string_view region) const {
   static const std::vector<candidate> none;
   const auto found = by_region_.find(region);
--- a/src/libsamphire/steering/entry_directory.h
+++ b/src/libsamphire/steering/entry_directory.h
@@ -12,24 +12,30 @@
 
 namespace samphire {
 
-// The entries that may be named in an answer to a look-up, by region.
-// Immutable; made anew when the members change.
+// The entries that a look-up response may list, by region. Immutable, so any
+// thread may read it without a lock; replaced as a whole when the fleet's
+// members change.
 class entry_directory
     : public boost::intrusive_ref_counter<entry_directory,
                                           boost::thread_safe_counter> {
  public:
+  // An entry and what its rank for a caller is computed from.
   struct candidate {
     std::string name;
+    // IP:PORT for callers.
     std::string address;
+    // XXH3 hash of the name, the same at every entry of the fleet.
     std::uint64_t name_hash = 0;
-    // How many callers it should get beside the others of its region.
+    // Share of callers that it should get, relative to the other entries of its
+    // region; lower for entries under high load.
     double weight = 1;
   };
 
-  // Leaving entries are left out.
+  // Entries that are leaving are left out.
   explicit entry_directory(const std::vector<live_entry>& entries);
 
-  const std::vector<candidate>& In(std::string_view region) const;
+  // Returns the entries of a region; empty if it has none or is unknown.
+  const std::vector<candidate>& EntriesIn(std::string_view region) const;
 
  private:
   std::map<std::string, std::vector<candidate>, std::less<>> by_region_;
--- a/src/libsamphire/steering/huge_page_allocator.h
+++ b/src/libsamphire/steering/huge_page_allocator.h
@@ -8,13 +8,15 @@
 
 namespace samphire {
 
-// Asks for huge pages for large arrays that are read at random: with pages of
-// 4 KB nearly each read of a 25 MB table also misses the address cache. Where
-// the system gives none, the array is an ordinary one.
+// Allocator for large arrays with random access, which asks the kernel for
+// transparent huge pages: with pages of 4 KB nearly every read of a 25 MB table
+// also misses the TLB. Arrays smaller than one huge page, and all arrays where
+// the system grants none, get ordinary pages. Stateless and thread-safe;
+// allocate throws std::bad_alloc as operator new does.
 template <typename T>
 class huge_page_allocator {
  public:
-  // Names that the standard library prescribes.
+  // The names below are those of the standard allocator requirements.
   using value_type = T;
 
   huge_page_allocator() = default;
@@ -25,7 +27,8 @@
     const auto bytes = count * sizeof(T);
     auto* memory = ::operator new(bytes, AlignmentOf(count));
     if (IsLarge(count))
-      madvise(memory, bytes - bytes % kHugePage, MADV_HUGEPAGE);
+      // A hint: a failure leaves ordinary pages.
+      madvise(memory, bytes - bytes % kHugePageBytes, MADV_HUGEPAGE);
     return static_cast<T*>(memory);
   }
 
@@ -36,13 +39,15 @@
   bool operator==(const huge_page_allocator&) const { return true; }
 
  private:
-  static constexpr std::size_t kHugePage = std::size_t{2} << 20;
+  // Size of a huge page on x86-64, 2 MiB; also the smallest array that asks for
+  // them.
+  static constexpr std::size_t kHugePageBytes = std::size_t{2} << 20;
 
   static bool IsLarge(std::size_t count) {
-    return count * sizeof(T) >= kHugePage;
+    return count * sizeof(T) >= kHugePageBytes;
   }
   static std::align_val_t AlignmentOf(std::size_t count) {
-    return std::align_val_t{IsLarge(count) ? kHugePage : alignof(T)};
+    return std::align_val_t{IsLarge(count) ? kHugePageBytes : alignof(T)};
   }
 };
 
--- a/src/libsamphire/steering/key_range.h
+++ b/src/libsamphire/steering/key_range.h
@@ -5,7 +5,8 @@
 
 namespace samphire {
 
-// The keys from `first` to `last`, both included, and where they go.
+// The keys from `first` to `last`, both included, and the destination that a
+// look-up of any of them gives.
 template <typename Key>
 struct key_range {
   Key first{};
--- a/src/libsamphire/steering/live_entry.h
+++ b/src/libsamphire/steering/live_entry.h
@@ -5,13 +5,16 @@
 
 namespace samphire {
 
-// An entry as the fleet's members know it.
+// An entry of the fleet as known from membership, for look-ups.
 struct live_entry {
   std::string name;
+  // IP:PORT at which it takes callers' requests.
   std::string caller_address;
   std::string region;
+  // It is about to stop and should get no new callers.
   bool leaving = false;
-  // The share of what it can take that it takes, 0 to 1; it may lag.
+  // Share of its capacity that is in use, from 0 to 1, as last reported; may be
+  // out of date.
   double load = 0;
 };
 
--- a/src/libsamphire/steering/lookup_composer.h
+++ b/src/libsamphire/steering/lookup_composer.h
@@ -3,16 +3,19 @@
 
 #include "config/ip_address.h"
 #include "steering/entry_directory.h"
-#include "steering/lookup_answer.h"
+#include "steering/lookup_response.h"
 #include "steering/lookup_snapshot.h"
 
 namespace samphire {
 
-// The entries that a caller is to use: those of its home region first, then
-// those of the next regions by latency.
-lookup_answer ComposeLookupAnswer(const lookup_snapshot& snapshot,
-                                  const entry_directory& directory,
-                                  const ip_address& caller);
+// Composes the response for a caller at this address: entries of its home
+// region first, then of the other regions by latency. Entries with the same
+// configuration and view of the members give a caller the same response.
+// Without entries in `directory` the response lists none. Thread-safe, since it
+// only reads its arguments.
+lookup_response ComposeLookupResponse(const lookup_snapshot& snapshot,
+                                      const entry_directory& directory,
+                                      const ip_address& caller);
 
 }  // namespace samphire
 
--- a/src/libsamphire/steering/prefix_route.h
+++ b/src/libsamphire/steering/prefix_route.h
@@ -8,9 +8,11 @@
 
 namespace samphire {
 
-// A block of addresses and where its callers go.
+// An address block in prefix notation and the destination of its callers.
 struct prefix_route {
+  // Bits behind the prefix are ignored.
   ip_address address{};
+  // Counted in the 128-bit form, 0 to 128: an IPv4 /24 is 120.
   std::uint8_t prefix_length = 0;
   destination to = kNoDestination;
 };
--- a/src/libsamphire/steering/prefix_table.cc
+++ b/src/libsamphire/steering/prefix_table.cc
@@ -18,43 +18,46 @@
   return Poco::ByteOrder::fromNetwork(number);
 }
 
-std::uint64_t HalfOf(const ip_address& address, std::size_t first) {
+// Returns the 8 bytes from `first_byte` on as a number in host byte order.
+std::uint64_t HalfAt(const ip_address& address, std::size_t first_byte) {
   Poco::UInt64 number = 0;
-  std::memcpy(&number, &address[first], sizeof(number));
+  std::memcpy(&number, &address[first_byte], sizeof(number));
   return Poco::ByteOrder::fromNetwork(number);
 }
 
-std::uint64_t UpperOf(const ip_address& address) {
-  return HalfOf(address, 0);
+std::uint64_t UpperHalfOf(const ip_address& address) {
+  return HalfAt(address, 0);
 }
 
-unsigned __int128 WholeOf(const ip_address& address) {
-  return static_cast<unsigned __int128>(UpperOf(address)) << kUpperBits |
-         HalfOf(address, kUpperBits / 8);
+unsigned __int128 FullAddressOf(const ip_address& address) {
+  return static_cast<unsigned __int128>(UpperHalfOf(address)) << kUpperBits |
+         HalfAt(address, kUpperBits / 8);
 }
 
-// All keys that share the first `length` of `bits` bits with `key`.
+// Returns the range of keys of `bits` bits that share the first `length` bits
+// with `key`.
 template <typename Key>
 key_range<Key> RangeOf(Key key, int length, int bits, destination to) {
   const int free_bits = bits - length;
-  const Key all = static_cast<Key>(~Key{0});
-  const Key low = free_bits == bits
-                      ? all
-                      : static_cast<Key>((Key{1} << free_bits) - Key{1});
-  return {static_cast<Key>(key & static_cast<Key>(~low)),
-          static_cast<Key>(key | low), to};
+  const Key all_bits = static_cast<Key>(~Key{0});
+  const Key low_bits = free_bits == bits
+                           ? all_bits
+                           : static_cast<Key>((Key{1} << free_bits) - Key{1});
+  return {static_cast<Key>(key & static_cast<Key>(~low_bits)),
+          static_cast<Key>(key | low_bits), to};
 }
 
 }  // namespace
 
-// Three tables, by what a prefix needs: nearly all blocks are IPv4 (4 bytes a
-// key) or IPv6 networks of up to 64 bits (8 bytes a key). One table of 16-byte
-// keys would take up to 36 bytes a block, half as much again as the 24 that a
-// small instance can hold for 1.9 million of them.
+// Splits the prefixes into three tables by the key size that they need: nearly
+// all blocks are IPv4 (4 bytes per key) or IPv6 networks of up to 64 bits (8
+// bytes per key). One table of 16-byte keys would take up to 36 bytes per
+// block, half as much again as the 24 that fit into the memory of a small
+// instance with 1.9 million blocks.
 prefix_table::prefix_table(const std::vector<prefix_route>& routes) {
   std::vector<key_range<std::uint32_t>> ipv4;
-  std::vector<key_range<std::uint64_t>> upper;
-  std::vector<key_range<wide_key>> whole;
+  std::vector<key_range<std::uint64_t>> upper_halves;
+  std::vector<key_range<wide_key>> full_addresses;
   for (const auto& route : routes) {
     const int length = route.prefix_length;
     if (IsMappedIpv4(route.address) && length >= kMappedPrefixBits) {
@@ -63,37 +66,38 @@
       continue;
     }
     if (length > kUpperBits) {
-      whole.push_back(
-          RangeOf(WholeOf(route.address), length, kIpAddressBits, route.to));
+      full_addresses.push_back(RangeOf(FullAddressOf(route.address), length,
+                                       kIpAddressBits, route.to));
       continue;
     }
-    upper.push_back(
-        RangeOf(UpperOf(route.address), length, kUpperBits, route.to));
+    upper_halves.push_back(
+        RangeOf(UpperHalfOf(route.address), length, kUpperBits, route.to));
   }
   ipv4_ = range_table(std::move(ipv4));
-  upper_ = range_table(std::move(upper));
-  whole_ = range_table(std::move(whole));
+  upper_halves_ = range_table(std::move(upper_halves));
+  full_addresses_ = range_table(std::move(full_addresses));
 }
 
-// Longer prefixes first: the first table that knows the address decides. An
-// IPv4 address is an IPv6 address in ::ffff:0:0/96 too, so that ::/0 covers
-// everyone.
+// Tries the tables from longer to shorter prefixes, and the first one that
+// contains the address decides. An IPv4 address is also an IPv6 address in
+// ::ffff:0:0/96, so that ::/0 covers all callers.
 destination prefix_table::Find(const ip_address& address) const {
   if (!ipv4_.empty() && IsMappedIpv4(address)) {
     const auto found = ipv4_.Find(Ipv4Of(address));
     if (found != kNoDestination)
       return found;
   }
-  if (!whole_.empty()) {
-    const auto found = whole_.Find(WholeOf(address));
+  if (!full_addresses_.empty()) {
+    const auto found = full_addresses_.Find(FullAddressOf(address));
     if (found != kNoDestination)
       return found;
   }
-  return upper_.Find(UpperOf(address));
+  return upper_halves_.Find(UpperHalfOf(address));
 }
 
 std::size_t prefix_table::bytes() const {
-  return sizeof(*this) + ipv4_.bytes() + upper_.bytes() + whole_.bytes();
+  return sizeof(*this) + ipv4_.bytes() + upper_halves_.bytes() +
+         full_addresses_.bytes();
 }
 
 }  // namespace samphire
--- a/src/libsamphire/steering/region_order.h
+++ b/src/libsamphire/steering/region_order.h
@@ -10,13 +10,16 @@
 
 namespace samphire {
 
-// For each home region, all regions by latency, itself first.
+// For each home region, the declared regions by ascending one-way latency,
+// itself first. Immutable, so any thread may read it without a lock.
 class region_order {
  public:
   explicit region_order(const declaration& declared);
 
-  // The order for callers of `home`; empty for a region that isn't declared.
-  const std::vector<std::string>& From(std::string_view home) const;
+  // Returns the regions in the order for callers of `home`; empty for a region
+  // that is not declared.
+  const std::vector<std::string>& RegionsByLatencyFrom(
+      std::string_view home) const;
 
  private:
   std::map<std::string, std::vector<std::string>, std::less<>> orders_;
--- a/tests/ctl/caller_port.h
+++ b/tests/ctl/caller_port.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "ctl/function_factory.h"
-#include "steering/lookup_answer.h"
+#include "steering/lookup_response.h"
 
 namespace samphire {
 
@@ -17,11 +17,11 @@
       : server_(
             new function_factory([this](auto& request, auto& response) {
               asked_ = request.getURI() + request.get("Authorization", "");
-              const auto text =
-                  WriteLookupAnswer({"colombo",
-                                     {{"entry-1", "127.0.1.1:8000", "colombo"}},
-                                     {},
-                                     41});
+              const auto text = WriteLookupResponse(
+                  {"colombo",
+                   {{"entry-1", "127.0.1.1:8000", "colombo"}},
+                   {},
+                   41});
               response.set("Samphirewinch-Result", "0 ok");
               response.sendBuffer(text.data(), text.size());
             }),
--- a/tests/decision/region_run_test.cc
+++ b/tests/decision/region_run_test.cc
@@ -40,7 +40,7 @@
   const auto central = RunAs(input, strategy::kCentralQueue);
   CHECK(WaitP99(ours.interactive) <= 1.7 * WaitP99(central.interactive));
   CHECK(ours.interactive.refused_total() == 0);
-  CHECK(ours.most_on_target <= workload::kSlotsOfTarget);
+  CHECK(ours.max_on_target <= workload::kSlotsPerTarget);
   CHECK(ours.loan_messages <= 3 * ours.interactive.arrived);
   const auto fixed = RunAs(input, strategy::kStaticShares);
   CHECK(fixed.interactive.refused_total() > 0);
@@ -53,7 +53,7 @@
     const auto report = RunAs(Scenario(3, share), strategy::kLoans);
     CHECK(report.goodput() >= 0.95);
     CHECK(report.interactive.late == 0);
-    CHECK(report.most_on_target <= workload::kSlotsOfTarget);
+    CHECK(report.max_on_target <= workload::kSlotsPerTarget);
     // Overload shortens the queue rather than letting it grow to the deadline.
     CHECK(WaitP99(report.interactive) <= 250);
     // Hardly anyone is let in only to be refused later.
@@ -64,8 +64,8 @@
 
 TEST_CASE("overload sheds the lower priorities and spares the highest") {
   auto input = Scenario(1.5, 0.55);
-  input.high_part = 0.2;
-  input.low_part = 0.4;
+  input.high_priority_share = 0.2;
+  input.low_priority_share = 0.4;
   const auto report = RunAs(input, strategy::kLoans);
   CHECK(report.high.refused_total() <= report.high.arrived / 100);
   CHECK(report.low.refused_total() >= report.low.arrived / 2);
@@ -102,7 +102,7 @@
   for (const bool misleading : {false, true}) {
     input.misleading_hints = misleading;
     const auto report = RunAs(input, strategy::kLoans);
-    CHECK(report.to_slow_target <= report.interactive.arrived / 50);
+    CHECK(report.sent_to_slow_target <= report.interactive.arrived / 50);
     CHECK(WaitP99(report.interactive) <= 40);
     CHECK(report.interactive.refused_total() == 0);
   }
@@ -113,9 +113,9 @@
 TEST_CASE("lost loan messages cost little and break no bound") {
   auto input = Scenario(0.8, 0.55);
   const auto whole = RunAs(input, strategy::kLoans);
-  input.message_loss = 0.05;
+  input.loan_message_loss = 0.05;
   const auto lossy = RunAs(input, strategy::kLoans);
-  CHECK(lossy.most_on_target <= workload::kSlotsOfTarget);
+  CHECK(lossy.max_on_target <= workload::kSlotsPerTarget);
   CHECK(WaitP99(lossy.interactive) <= 1.5 * WaitP99(whole.interactive));
   CHECK(lossy.interactive.refused_total() == 0);
 }
@@ -126,11 +126,11 @@
   input.shifted_load = 0.3;
   input.cap = shift_cap{"lost", "home", 8, 2, 0.5};
   const auto report = RunAs(input, strategy::kLoans);
-  CHECK(report.most_shifted <= 8);
+  CHECK(report.max_shifted <= 8);
   CHECK(report.home.refused_total() == 0);
   // The same cap at a single entry that owns every slot: what is forced.
   const auto forced = RunAs(input, strategy::kOneEntry);
-  CHECK(forced.most_shifted <= 8);
+  CHECK(forced.max_shifted <= 8);
   CHECK(report.shifted.refused_total() <=
         forced.shifted.refused_total() + report.shifted.arrived / 20);
 }
--- a/tests/gateway/seat_share_test.cc
+++ b/tests/gateway/seat_share_test.cc
@@ -32,8 +32,9 @@
   frame.services = {ServiceNamed("levels", 3s), ServiceNamed("archives", 300s)};
   frame.limits.loan_ttl = 250ms;
   frame.limits.clock_drift = 50ms;
-  const auto no_blocks = [](const block_table::block_visitor&) {};
-  return new deployment(frame, 1, new block_table(frame.regions, no_blocks));
+  const auto no_blocks = [](const home_region_table::block_visitor&) {};
+  return new deployment(frame, 1,
+                        new home_region_table(frame.regions, no_blocks));
 }
 
 struct share_rig {
--- a/tests/steering/lookup_test.cc
+++ b/tests/steering/lookup_test.cc
@@ -56,26 +56,30 @@
                                         int callers) {
   const lookup_snapshot snapshot(ThreeRegions(), 7);
   const entry_directory directory(entries);
-  std::map<std::string, int> firsts;
+  std::map<std::string, int> first_choices;
   for (int i = 0; i < callers; ++i) {
-    const auto answer = ComposeLookupAnswer(snapshot, directory, Caller(i));
-    ++firsts[answer.entries.front().name];
+    const auto response = ComposeLookupResponse(snapshot, directory, Caller(i));
+    ++first_choices[response.entries.front().name];
   }
-  return firsts;
+  return first_choices;
 }
 
 }  // namespace
 
-TEST_CASE("regions come by latency, one without a latency last") {
+TEST_CASE("regions are ordered by latency, those without a latency last") {
   const region_order order(ThreeRegions());
   using names = std::vector<std::string>;
-  CHECK(order.From("colombo") == names{"colombo", "galle", "kandy", "jaffna"});
-  CHECK(order.From("kandy") == names{"kandy", "galle", "colombo", "jaffna"});
-  CHECK(order.From("jaffna") == names{"jaffna", "colombo", "kandy", "galle"});
-  CHECK(order.From("nowhere").empty());
+  CHECK(order.RegionsByLatencyFrom("colombo") ==
+        names{"colombo", "galle", "kandy", "jaffna"});
+  CHECK(order.RegionsByLatencyFrom("kandy") ==
+        names{"kandy", "galle", "colombo", "jaffna"});
+  CHECK(order.RegionsByLatencyFrom("jaffna") ==
+        names{"jaffna", "colombo", "kandy", "galle"});
+  CHECK(order.RegionsByLatencyFrom("nowhere").empty());
 }
 
-TEST_CASE("callers belong to the longest block, others to the default") {
+TEST_CASE(
+    "a caller's home region is that of the longest block, else the default") {
   const lookup_snapshot snapshot(ThreeRegions(), 7);
   CHECK(snapshot.RegionOf(*ParseIpAddress("127.30.1.9")) == "kandy");
   CHECK(snapshot.RegionOf(*ParseIpAddress("127.30.3.9")) == "galle");
@@ -84,35 +88,36 @@
   CHECK(snapshot.RegionOf(*ParseIpAddress("2001:db8::1")) == "colombo");
 }
 
-TEST_CASE("an answer names the home region first and says what it rests on") {
+TEST_CASE("a response lists the home region first, with TTL and version") {
   const lookup_snapshot snapshot(ThreeRegions(), 7);
   const entry_directory directory(EntriesOf(5));
-  const auto answer = ComposeLookupAnswer(snapshot, directory, Caller(1));
+  const auto response = ComposeLookupResponse(snapshot, directory, Caller(1));
   std::vector<std::string> regions;
   std::set<std::string> names;
-  for (const auto& entry : answer.entries) {
+  for (const auto& entry : response.entries) {
     regions.push_back(entry.region);
     names.insert(entry.name);
   }
   CHECK(regions == std::vector<std::string>{"kandy", "kandy", "kandy", "kandy",
                                             "galle", "galle", "colombo",
                                             "colombo"});
-  CHECK(names.size() == answer.entries.size());
-  CHECK(answer.ttl == 2000ms);
-  lookup_answer small{"kandy", {{"e\"1", "127.0.0.1:80", "kandy"}}, 2000ms, 7};
-  CHECK(WriteLookupAnswer(small) ==
+  CHECK(names.size() == response.entries.size());
+  CHECK(response.ttl == 2000ms);
+  lookup_response small{
+      "kandy", {{"e\"1", "127.0.0.1:80", "kandy"}}, 2000ms, 7};
+  CHECK(WriteLookupResponse(small) ==
         R"({"region":"kandy","entries":[{"name":"e\"1",)"
         R"("address":"127.0.0.1:80","region":"kandy"}],)"
         R"("ttl_ms":2000,"config_version":7})");
 }
 
-// On a Friday evening all publicans of a region open the log at once. If all
-// were given the same first entry, it would refuse them while its neighbours
-// idle.
+// At peak time the callers of a region come all at once. If all of them were
+// given the same first entry, it would refuse requests while the other entries
+// of the region idle.
 TEST_CASE("the callers of a region spread over its entries") {
-  const auto firsts = FirstChoices(EntriesOf(4), 600);
-  REQUIRE(firsts.size() == 4);
-  for (const auto& [name, callers] : firsts) {
+  const auto first_choices = FirstChoices(EntriesOf(4), 600);
+  REQUIRE(first_choices.size() == 4);
+  for (const auto& [name, callers] : first_choices) {
     INFO(name);
     CHECK(callers > 100);
     CHECK(callers < 200);
@@ -120,8 +125,8 @@
 }
 
 // An entry is stopped for maintenance. Only its own callers move, and they
-// don't all move to one neighbour.
-TEST_CASE("when an entry leaves only its callers move, to all that remain") {
+// spread over all remaining entries instead of overloading one of them.
+TEST_CASE("when an entry leaves, only its callers move, to all that remain") {
   auto entries = EntriesOf(4);
   const auto before = FirstChoices(entries, 600);
   const auto leaving =
@@ -134,43 +139,44 @@
     CHECK(after.at(name) > before.at(name) + 20);
 }
 
-// One entry is overloaded and says so, perhaps late. It gets fewer callers,
-// but not none, since its report may be wrong.
-TEST_CASE("a busy entry is named first less often, and still named") {
+// One entry reports overload, possibly late. It gets fewer callers, but still
+// some, since its report may be wrong.
+TEST_CASE("an overloaded entry is listed first less often, but not never") {
   auto entries = EntriesOf(4);
   for (auto& entry : entries)
     entry.load = entry.name == "kandy-1" ? 0.99 : 0.2;
-  const auto firsts = FirstChoices(entries, 600);
-  CHECK(firsts.at("kandy-1") > 0);
-  CHECK(firsts.at("kandy-1") < 60);
+  const auto first_choices = FirstChoices(entries, 600);
+  CHECK(first_choices.at("kandy-1") > 0);
+  CHECK(first_choices.at("kandy-1") < 60);
 }
 
-// A whole region is dark: no entry of it is a live member.
-TEST_CASE("callers of a dark region are sent to the next one") {
+// A whole region has failed: none of its entries is a live member.
+TEST_CASE("callers of a failed region are sent to the next one") {
   auto entries = EntriesOf(4);
   std::erase_if(entries,
                 [](const auto& entry) { return entry.region == "kandy"; });
   const lookup_snapshot snapshot(ThreeRegions(), 7);
-  const auto answer =
-      ComposeLookupAnswer(snapshot, entry_directory(entries), Caller(1));
-  REQUIRE(answer.entries.size() == 4);
-  CHECK(answer.entries.front().region == "galle");
-  CHECK(answer.entries.back().region == "colombo");
-  CHECK(ComposeLookupAnswer(snapshot, entry_directory({}), Caller(1))
+  const auto response =
+      ComposeLookupResponse(snapshot, entry_directory(entries), Caller(1));
+  REQUIRE(response.entries.size() == 4);
+  CHECK(response.entries.front().region == "galle");
+  CHECK(response.entries.back().region == "colombo");
+  CHECK(ComposeLookupResponse(snapshot, entry_directory({}), Caller(1))
             .entries.empty());
 }
 
-// Configuration changes while look-ups run. A reader that met a table that is
-// half replaced or already freed would send callers anywhere.
-TEST_CASE("readers always meet a whole snapshot while it is replaced") {
+// The configuration changes while look-ups run. A reader that used a snapshot
+// that is half replaced or already freed would send callers to arbitrary
+// entries.
+TEST_CASE("readers always get a complete snapshot while it is replaced") {
   const auto made = [](std::uint64_t version) {
     auto declared = ThreeRegions();
     declared.default_region = version % 2 == 0 ? "colombo" : "galle";
     return boost::intrusive_ptr<const lookup_snapshot>(
         new lookup_snapshot(declared, version));
   };
-  shared_snapshot<lookup_snapshot> holder(made(0));
-  const auto stranger = *ParseIpAddress("192.0.2.1");
+  shared_snapshot<lookup_snapshot> shared(made(0));
+  const auto unknown_caller = *ParseIpAddress("192.0.2.1");
   std::atomic<bool> stop{false};
   std::atomic<int> wrong{0};
   std::atomic<int> started{0};
@@ -181,13 +187,14 @@
       ++started;
       std::uint64_t latest = 0;
       while (!stop) {
-        holder.Read([&](const lookup_snapshot* one) {
+        shared.Read([&](const lookup_snapshot* one) {
           const auto* expected = one->version() % 2 == 0 ? "colombo" : "galle";
-          if (one->RegionOf(stranger) != expected || one->version() < latest)
+          if (one->RegionOf(unknown_caller) != expected ||
+              one->version() < latest)
             ++wrong;
           latest = one->version();
         });
-        if (holder.Get()->version() < latest)
+        if (shared.Get()->version() < latest)
           ++wrong;
       }
     });
@@ -195,11 +202,11 @@
   while (started < 3)
     std::this_thread::yield();
   for (std::uint64_t version = 1; version <= 300; ++version)
-    holder.Replace(made(version));
+    shared.Replace(made(version));
   stop = true;
   for (auto& reader : readers)
     reader.join();
   CHECK(wrong == 0);
-  CHECK(holder.Get()->version() == 300);
-  CHECK(holder.Get()->use_count() == 2);
+  CHECK(shared.Get()->version() == 300);
+  CHECK(shared.Get()->use_count() == 2);
 }
--- a/tests/steering/prefix_table_test.cc
+++ b/tests/steering/prefix_table_test.cc
@@ -20,9 +20,9 @@
   return true;
 }
 
-// The longest prefix by trying all; of two equal ones the later.
-destination NaiveFind(const std::vector<prefix_route>& routes,
-                      const ip_address& address) {
+// Finds the longest prefix by trying all of them; of two equal ones the later.
+destination LinearFind(const std::vector<prefix_route>& routes,
+                       const ip_address& address) {
   const prefix_route* best = nullptr;
   for (const auto& route : routes) {
     if (Covers(route, address) &&
@@ -32,7 +32,8 @@
   return best == nullptr ? kNoDestination : best->to;
 }
 
-// Addresses from a small space, so that blocks nest, touch and repeat.
+// Draws from a small set of addresses, so that blocks often nest, adjoin and
+// repeat.
 ip_address GeneratedAddress() {
   ip_address address{};
   if (*rc::gen::arbitrary<bool>())
@@ -57,7 +58,8 @@
   return route;
 }
 
-// A block's edges are where a mistake by one would show.
+// Returns the first and last address of a block and their neighbours outside,
+// where an off-by-one error would show.
 std::vector<ip_address> EdgesOf(const prefix_route& route) {
   ip_address first = route.address;
   ip_address last = route.address;
@@ -66,18 +68,18 @@
     first[bit / 8] &= static_cast<std::uint8_t>(~mask);
     last[bit / 8] |= mask;
   }
-  ip_address behind = last;
-  for (int at = 15; at >= 0 && ++behind[at] == 0; --at) {
+  ip_address next = last;
+  for (int at = 15; at >= 0 && ++next[at] == 0; --at) {
   }
-  ip_address before = first;
-  for (int at = 15; at >= 0 && before[at]-- == 0; --at) {
+  ip_address previous = first;
+  for (int at = 15; at >= 0 && previous[at]-- == 0; --at) {
   }
-  return {first, last, behind, before};
+  return {first, last, next, previous};
 }
 
 }  // namespace
 
-TEST_CASE("the table finds what trying every block finds") {
+TEST_CASE("the table finds the same as a linear search over all prefixes") {
   CHECK(rc::check([] {
     std::vector<prefix_route> routes;
     const auto count = *rc::gen::inRange<std::size_t>(0, 120);
@@ -87,21 +89,22 @@
     const prefix_table table(routes);
     for (int i = 0; i < 20; ++i) {
       const auto address = GeneratedAddress();
-      RC_ASSERT(table.Find(address) == NaiveFind(routes, address));
+      RC_ASSERT(table.Find(address) == LinearFind(routes, address));
     }
     for (const auto& route : routes) {
       for (const auto& address : EdgesOf(route))
-        RC_ASSERT(table.Find(address) == NaiveFind(routes, address));
+        RC_ASSERT(table.Find(address) == LinearFind(routes, address));
     }
   }));
 }
 
-TEST_CASE("a table of many blocks keeps to its bytes and finds each") {
+TEST_CASE(
+    "a table of many blocks stays within its memory bound and finds each") {
   std::vector<prefix_route> routes;
   constexpr std::uint32_t kBlocks = 50'000;
   for (std::uint32_t i = 0; i < kBlocks; ++i) {
     prefix_route route;
-    // No two blocks touch, so that every one takes two ranges.
+    // No two blocks adjoin, so that each takes two flat ranges.
     route.address = {0x20,
                      0x01,
                      static_cast<std::uint8_t>(i >> 8),
