--- a/src/libsamphire/traffic/entry_list.h
+++ b/src/libsamphire/traffic/entry_list.h
@@ -10,32 +10,40 @@
 
 namespace samphire {
 
-// The live entries of this entry's region. Immutable.
+// The live entries of this entry's region, as derived from membership, and what
+// this entry knows about the rest of the fleet. Immutable once published; each
+// change of membership produces a new list.
 struct entry_list
     : public boost::intrusive_ref_counter<entry_list,
                                           boost::thread_safe_counter> {
+  // Entries of this region that are alive or suspected, including this one
+  // unless it is leaving.
   std::vector<std::string> names;
-  // Of each, in the order of the names.
+  // Parallel to `names`.
   std::vector<std::string> failure_domains;
   std::vector<std::string> peer_addresses;
-  // Of those that callers may use.
+  // Caller addresses of the entries that are ready to serve callers. Lists all
+  // known entries if none is known to be ready.
   std::vector<std::string> caller_addresses;
-  // Peer addresses of all others that may know something: also of those that
-  // leave, and of some in other regions.
-  std::vector<std::string> helper_addresses;
-  // Those among whom bounds on all entries together are divided: names of this
-  // region, and how many in all regions. None until this entry has run for long
-  // enough that it knows the others and they know it, since entries that start
-  // together each believe at first that they are alone.
-  std::vector<std::string> region_sharers;
-  std::size_t fleet_sharers = 0;
+  // Peer addresses from which this entry may fetch the last known objects when
+  // it starts while the platform is unreachable. Includes entries that are
+  // leaving and some entries of other regions; excludes this entry.
+  std::vector<std::string> bootstrap_addresses;
+  // The members among which limits that hold for all entries together are
+  // divided: the names in this region, and the number of entries in all
+  // regions. Empty and 0 until this entry has run for
+  // `traffic_settings::settle_time`, so that it knows the others and they know
+  // it. Entries that start at the same time would otherwise each assume to be
+  // alone and use the whole limit.
+  std::vector<std::string> settled_region_members;
+  std::size_t settled_fleet_size = 0;
   // The maximum number of entries over the last minute, in this region and in
   // all regions.
   std::size_t region_peak = 0;
   std::size_t fleet_peak = 0;
   // The last time `names` changed.
   time_point unchanged_since;
-  // Peer addresses of some entries of each other region.
+  // Peer addresses of some entries of each other region, by region.
   std::map<std::string, std::vector<std::string>> other_regions;
 };
 
--- a/src/libsamphire/traffic/entry_list_builder.cc
+++ b/src/libsamphire/traffic/entry_list_builder.cc
@@ -7,23 +7,25 @@
 
 namespace {
 
-// An entry that is cut off from others takes them for dead after six seconds.
-// They go on serving, and so does it: with shares by the entries that each
-// sees, all parts together would use a bound several times over. A minute is
-// longer than any cut that was met; what is silent for longer is gone.
-constexpr milliseconds kFleetMemory{60'000};
+// The time for which the largest number of known entries determines each
+// entry's share of a limit. An entry that is partitioned from others declares
+// them failed after six seconds, although both sides keep serving callers. If
+// each side divided a limit among the entries that it still sees, all sides
+// together would exceed the limit several times over. No network partition seen
+// so far lasted a minute; entries that are unreachable for longer have stopped.
+constexpr milliseconds kPeakWindow{60'000};
 
 }  // namespace
 
 entry_list_builder::entry_list_builder(std::string self,
                                        milliseconds settle_time,
-                                       std::size_t least_fleet,
+                                       std::size_t min_fleet_size,
                                        time_point started)
     : self_(std::move(self)),
       settled_at_(started + settle_time),
-      least_fleet_(least_fleet),
-      fleet_sizes_(kFleetMemory),
-      region_sizes_(kFleetMemory),
+      min_fleet_size_(min_fleet_size),
+      fleet_sizes_(kPeakWindow),
+      region_sizes_(kPeakWindow),
       unchanged_since_(started) {}
 
 boost::intrusive_ptr<const entry_list> entry_list_builder::Build(
@@ -36,7 +38,7 @@
   for (const auto& each : members) {
     const bool self = each.name == self_;
     if (!self && each.state != member_state::kDead)
-      list->helper_addresses.push_back(each.peer_address);
+      list->bootstrap_addresses.push_back(each.peer_address);
     if (each.state != member_state::kAlive &&
         each.state != member_state::kSuspect)
       continue;
@@ -44,12 +46,14 @@
       continue;
     list->names.push_back(each.name);
     list->failure_domains.push_back(each.failure_domain);
-    // One that has just started refuses callers until it has a configuration.
+    // An entry that has just started refuses callers until it has loaded a
+    // configuration.
     if (self ? self_ready : each.digest.config_version > 0)
       list->caller_addresses.push_back(each.caller_address);
     list->peer_addresses.push_back(each.peer_address);
   }
-  // Where none says that it has one, any may by now.
+  // If no entry has announced a configuration yet, list all of them: any may
+  // have loaded one since its last update.
   if (list->caller_addresses.empty()) {
     for (const auto& each : members)
       list->caller_addresses.push_back(each.caller_address);
@@ -58,11 +62,11 @@
   for (const auto& region : regions) {
     size += region.digest.entries;
     for (const auto& contact : region.digest.contacts) {
-      list->helper_addresses.push_back(contact.peer_address);
+      list->bootstrap_addresses.push_back(contact.peer_address);
       list->other_regions[region.digest.region].push_back(contact.peer_address);
     }
   }
-  const auto peak = fleet_sizes_.Note(std::max(size, least_fleet_), now);
+  const auto peak = fleet_sizes_.Note(std::max(size, min_fleet_size_), now);
   list->fleet_peak = peak;
   list->region_peak = region_sizes_.Note(list->names.size(), now);
   if (list->names != previous_names_) {
@@ -71,8 +75,8 @@
   }
   list->unchanged_since = unchanged_since_;
   if (now >= settled_at_) {
-    list->region_sharers = list->names;
-    list->fleet_sharers = peak;
+    list->settled_region_members = list->names;
+    list->settled_fleet_size = peak;
   }
   return list;
 }
--- a/src/libsamphire/traffic/entry_list_builder.h
+++ b/src/libsamphire/traffic/entry_list_builder.h
@@ -14,18 +14,23 @@
 
 namespace samphire {
 
-// Draws from membership which entries callers may use, and what this entry may
-// assume of the others. Knows no sockets and no clock. Not thread-safe.
+// Derives from membership which entries callers may use and how many entries
+// share the fleet-wide limits. Performs no I/O and takes the time as an
+// argument. Not thread-safe.
 class entry_list_builder {
  public:
-  // `settle_time` from `started`, news of a new process has reached all.
-  // `least_fleet`: there are at least so many entries, seen or not.
+  // `settle_time` after `started`, gossip about this process has reached all
+  // members, and lists contain the settled members from then on.
+  // `min_fleet_size` is a lower bound on the number of entries in the fleet,
+  // which holds even if fewer are known.
   entry_list_builder(std::string self,
                      milliseconds settle_time,
-                     std::size_t least_fleet,
+                     std::size_t min_fleet_size,
                      time_point started);
 
-  // `self_ready`: this entry serves callers. `leaving`: it is being stopped.
+  // Builds the list for `now`, which must not decrease between calls.
+  // `self_ready` tells whether this entry serves callers. `leaving` tells
+  // whether it is being stopped; it is then left out of the list.
   boost::intrusive_ptr<const entry_list> Build(
       const std::vector<member>& members,
       const std::vector<region_view>& regions,
@@ -36,7 +41,7 @@
  private:
   const std::string self_;
   const time_point settled_at_;
-  const std::size_t least_fleet_;
+  const std::size_t min_fleet_size_;
   recent_peak fleet_sizes_;
   recent_peak region_sizes_;
   std::vector<std::string> previous_names_;
--- a/src/libsamphire/traffic/handler_factory.h
+++ b/src/libsamphire/traffic/handler_factory.h
@@ -8,7 +8,9 @@
 
 namespace samphire {
 
-// Makes the handlers of one port by a function.
+// Creates the request handlers of one port by calling a function. The server
+// calls it from its connection threads, so the function must be thread-safe,
+// and takes ownership of each handler.
 class handler_factory final : public Poco::Net::HTTPRequestHandlerFactory {
  public:
   using maker = std::function<Poco::Net::HTTPRequestHandler*(
--- a/src/libsamphire/traffic/mirror_handler.cc
+++ b/src/libsamphire/traffic/mirror_handler.cc
@@ -11,9 +11,12 @@
 
 namespace {
 
-constexpr std::uint64_t kMaxAskBytes = 4096;
-constexpr milliseconds kReadTime{1000};
-// Longer than any peer of this version asks for.
+// Upper bound on the body of a request: a key prefix and a few numbers.
+constexpr std::uint64_t kMaxRequestBytes = 4096;
+// Time within which the body of a request must arrive.
+constexpr milliseconds kReadTimeout{1000};
+// Upper bound on the time that a peer may let a watch wait for changes. Peers
+// of this version ask for less.
 constexpr std::uint32_t kMaxWaitMs = 5000;
 
 }  // namespace
@@ -29,32 +32,32 @@
 
 void mirror_handler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                    Poco::Net::HTTPServerResponse& response) {
-  const auto answer = Answer(static_cast<front_request&>(request));
-  if (!answer) {
-    metrics_.CountRefusal(answer.error().code);
-    WriteRefusal(response, answer_note{.code = answer.error().code});
+  const auto encoded = Handle(static_cast<front_request&>(request));
+  if (!encoded) {
+    metrics_.CountRefusal(encoded.error().code);
+    WriteRefusal(response, answer_note{.code = encoded.error().code});
     return;
   }
   metrics_.Count("mirror_bytes_total", "",
-                 static_cast<std::int64_t>(answer.value().size()));
-  WriteBody(response, "application/octet-stream", answer.value());
+                 static_cast<std::int64_t>(encoded.value().size()));
+  WriteBody(response, "application/octet-stream", encoded.value());
 }
 
-result<std::string> mirror_handler::Answer(front_request& request) {
-  BOOST_OUTCOME_TRY(body,
-                    ReadPeerCall(request, signer_, own_address_, kMaxAskBytes,
-                                 std::chrono::steady_clock::now() + kReadTime));
-  const auto ask = DecodeBinary<mirror_ask>(body);
-  if (!ask || request.getURI() != kMirrorPath)
+result<std::string> mirror_handler::Handle(front_request& request) {
+  BOOST_OUTCOME_TRY(
+      body, ReadPeerCall(request, signer_, own_address_, kMaxRequestBytes,
+                         std::chrono::steady_clock::now() + kReadTimeout));
+  const auto query = DecodeBinary<mirror_request>(body);
+  if (!query || request.getURI() != kMirrorPath)
     return MakeError(result_code::kPeerMalformed);
-  if (ask->last_known) {
-    BOOST_OUTCOME_TRY(known, relay_.LastKnown(ask->prefix));
+  if (query->last_known) {
+    BOOST_OUTCOME_TRY(known, relay_.LastKnown(query->prefix));
     return EncodeBinary(known);
   }
   BOOST_OUTCOME_TRY(
-      batch, relay_.Watch(ask->prefix, ask->cursor,
-                          milliseconds(std::min(ask->wait_ms, kMaxWaitMs)),
-                          ask->await_fresh));
+      batch, relay_.Watch(query->prefix, query->cursor,
+                          milliseconds(std::min(query->wait_ms, kMaxWaitMs)),
+                          query->await_fresh));
   return EncodeBinary(batch);
 }
 
--- a/src/libsamphire/traffic/mirror_handler.h
+++ b/src/libsamphire/traffic/mirror_handler.h
@@ -15,7 +15,9 @@
 
 namespace samphire {
 
-// Answers a peer that follows the platform's objects through this entry.
+// Serves this entry's copy of the platform's objects to a peer that watches
+// them through this entry. The server creates one handler for each request; a
+// handler may block for as long as the peer asked to wait for a change.
 class mirror_handler final : public Poco::Net::HTTPRequestHandler {
  public:
   mirror_handler(object_relay& relay,
@@ -27,7 +29,11 @@
                      Poco::Net::HTTPServerResponse& response) override;
 
  private:
-  result<std::string> Answer(front_request& request);
+  // Returns the encoded watch_batch. Fails with kPeerMalformed if the body or
+  // the path is invalid, with the errors of ReadPeerCall if the request is
+  // incomplete or not signed by a peer, and with kStoreUnreachable if this
+  // entry has no copy that is fresh enough.
+  result<std::string> Handle(front_request& request);
 
   object_relay& relay_;
   peer_signer& signer_;
--- a/src/libsamphire/traffic/mirror_messages.h
+++ b/src/libsamphire/traffic/mirror_messages.h
@@ -13,28 +13,34 @@
 
 namespace samphire {
 
-// Where an entry hands its copy of the platform's objects on.
+// HTTP path at which an entry serves its copy of the platform's objects.
 inline const std::string kMirrorPath = "/v1/peer/mirror";
 
-// Keys and values are bounded as the platform bounds them; a listing of all
-// targets of the largest fleet has room.
-inline constexpr std::size_t kMaxMirrorKey = 1024;
-inline constexpr std::size_t kMaxMirrorValue = 2U << 20U;
+// Bounds on decoded messages. Keys and values have the platform's own bounds,
+// in bytes; the number of events allows a listing of all targets of the largest
+// fleet.
+inline constexpr std::size_t kMaxMirrorKeyBytes = 1024;
+inline constexpr std::size_t kMaxMirrorValueBytes = 2U << 20U;
 inline constexpr std::size_t kMaxMirrorEvents = 200'000;
 
-// What changed under this prefix since the cursor? -> watch_batch
-struct mirror_ask {
+// Requests the changes of all objects whose keys start with `prefix`. The
+// response is a watch_batch.
+struct mirror_request {
   std::string prefix;
+  // The platform's revision after which changes are returned; 0 requests all
+  // objects.
   std::uint64_t cursor = 0;
+  // How long the peer may wait for a change before it returns an empty batch.
   std::uint32_t wait_ms = 0;
-  // Everything that is known, however old, rather than what is fresh.
+  // Returns all known objects regardless of their age, and does not wait.
   bool last_known = false;
-  // Answer once a fresh copy is there, rather than once something changes.
+  // Returns as soon as a fresh copy is available, even if nothing has changed,
+  // rather than at the next change.
   bool await_fresh = false;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(Bounded<kMaxMirrorKey>(prefix), cursor, wait_ms, last_known,
+    archive(Bounded<kMaxMirrorKeyBytes>(prefix), cursor, wait_ms, last_known,
             await_fresh);
   }
 };
@@ -43,8 +49,8 @@
 void serialize(Archive& archive, store_event& event) {
   bool has_value = event.value.has_value();
   std::string value = event.value.value_or("");
-  archive(Bounded<kMaxMirrorKey>(event.key), event.version, has_value,
-          Bounded<kMaxMirrorValue>(value));
+  archive(Bounded<kMaxMirrorKeyBytes>(event.key), event.version, has_value,
+          Bounded<kMaxMirrorValueBytes>(value));
   if (has_value)
     event.value = std::move(value);
 }
--- a/src/libsamphire/traffic/placed_request.h
+++ b/src/libsamphire/traffic/placed_request.h
@@ -8,14 +8,18 @@
 
 namespace samphire {
 
-// Where an attempt goes, and who decided it.
+// The decision at which target an attempt of a request runs, and the entry that
+// made it.
 struct placed_request {
-  placing place;
-  // The entry that decided, by name and peer address; empty if it was this.
+  // The chosen target, or why the attempt is refused.
+  placing decision;
+  // Name and peer address of the key's owner if it decided; empty if this entry
+  // decided.
   std::string owner;
   std::string owner_address;
-  // Of the lease that the owner gave for it.
-  std::uint64_t lease = 0;
+  // Id of the lease under which the owner counts the attempt until its end is
+  // reported. 0 if this entry decided.
+  std::uint64_t lease_id = 0;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/request_placer.cc
+++ b/src/libsamphire/traffic/request_placer.cc
@@ -12,135 +12,143 @@
                                std::string service)
     : context_(context), request_(request), service_(std::move(service)) {
   const auto& route = *request.route;
-  wish_.route = route.name;
-  wish_.key_hash = request.key_hash;
-  wish_.body_bytes = request.body_bytes();
-  wish_.objective = route.latency_objective;
-  wish_.home_regions = request.home_regions;
+  criteria_.route = route.name;
+  criteria_.key_hash = request.key_hash;
+  criteria_.body_bytes = request.body_bytes();
+  criteria_.objective = route.latency_objective;
+  criteria_.home_regions = request.home_regions;
 }
 
 placed_request request_placer::Place() {
-  wish_.time_left = std::chrono::floor<milliseconds>(request_.deadline -
-                                                     context_.clock.now());
+  criteria_.time_left = std::chrono::floor<milliseconds>(request_.deadline -
+                                                         context_.clock.now());
   const auto targets = context_.state.targets();
   const auto entries = context_.state.entries().Get();
   auto placed = PlaceByOwner(*targets, *entries);
   const char* by = placed ? "by=\"owner\"" : "by=\"self\"";
   context_.counters.Count("placings_total", by);
-  return placed ? std::move(*placed) : PlaceHere(*targets, *entries);
+  return placed ? std::move(*placed) : PlaceLocally(*targets, *entries);
 }
 
-// Made for fleets of many entries that each see few of the requests for a key:
-// an entry then meets a target once in half a minute, its view of the queue
-// there is long out of date, and it takes each key for a new one. It shows as
-// keys that wait at a full target while others idle. One entry of the region
-// that is asked about every request for a key knows what is in work there, and
-// where the key was learned.
+// Serves fleets of many entries that each receive few of the requests for a
+// key. An entry would then use a target once in half a minute: its view of the
+// queue there would be outdated, it would take every key for a new one, and
+// requests would wait at a full target while others are idle. One entry of the
+// region that places all requests for a key knows the load at the targets and
+// which of them has the key in memory.
 std::optional<placed_request> request_placer::PlaceByOwner(
     const target_set& targets,
     const entry_list& entries) {
-  wish_.for_region = false;
-  if (context_.settings.without.contains(placing_mechanism::kKeyOwner) ||
-      wish_.home_regions.size() > kMaxHomes ||
-      wish_.excluded.size() > kMaxExcluded)
+  criteria_.for_region = false;
+  if (context_.settings.disabled_mechanisms.contains(
+          placing_mechanism::kKeyOwner) ||
+      criteria_.home_regions.size() > kMaxHomeRegions ||
+      criteria_.excluded.size() > kMaxExcludedTargets)
     return std::nullopt;
-  const auto owner = KeyOwner(wish_.key_hash, entries.names);
+  const auto owner = KeyOwner(criteria_.key_hash, entries.names);
   if (!owner)
     return std::nullopt;
-  const bool stays = context_.shards.WithService(service_, [&](auto& shard) {
-    return shard.tracker.KeepsInDomain(wish_);
-  });
-  if (stays)
+  const bool is_domain_local = context_.shards.WithService(
+      service_,
+      [&](auto& shard) { return shard.tracker.KeepsInDomain(criteria_); });
+  if (is_domain_local)
     return std::nullopt;
-  wish_.for_region = entries.names[*owner] == context_.settings.place.instance;
-  if (wish_.for_region)
+  criteria_.for_region =
+      entries.names[*owner] == context_.settings.place.instance;
+  if (criteria_.for_region)
     return std::nullopt;
   const auto& address = entries.peer_addresses[*owner];
-  const auto answer = context_.placings.Ask(address, Ask());
-  if (!answer)
+  const auto response =
+      context_.remote_placement.RequestPlacement(address, BuildRequest());
+  if (!response)
     return std::nullopt;
-  auto place = Read(*answer, targets);
-  if (place)
-    return placed_request{.place = std::move(*place),
+  auto decision = PlacementFrom(*response, targets);
+  if (decision)
+    return placed_request{.decision = std::move(*decision),
                           .owner = entries.names[*owner],
                           .owner_address = address,
-                          .lease = answer->id};
-  if (answer->verdict == placing_verdict::kPlaced) {
-    context_.placings.End(address, service_, answer->id,
-                          {.result = attempt_result::kCallerGone});
+                          .lease_id = response->id};
+  if (response->verdict == remote_placement_verdict::kPlaced) {
+    context_.remote_placement.ReportEnd(
+        address, service_, response->id,
+        {.result = attempt_result::kCallerGone});
   }
   return std::nullopt;
 }
 
-placing_ask request_placer::Ask() const {
-  return {.service = service_,
-          .route = wish_.route,
-          .failure_domain = context_.settings.place.failure_domain,
-          .key_hash = wish_.key_hash,
-          .body_bytes = wish_.body_bytes,
-          .objective_ms = static_cast<std::uint32_t>(wish_.objective.count()),
-          .time_left_ms = static_cast<std::uint32_t>(
-              std::max(milliseconds{0}, wish_.time_left).count()),
-          .home_regions = wish_.home_regions,
-          .excluded = wish_.excluded};
+remote_placement_request request_placer::BuildRequest() const {
+  return {
+      .service = service_,
+      .route = criteria_.route,
+      .failure_domain = context_.settings.place.failure_domain,
+      .key_hash = criteria_.key_hash,
+      .body_bytes = criteria_.body_bytes,
+      .objective_ms = static_cast<std::uint32_t>(criteria_.objective.count()),
+      .time_left_ms = static_cast<std::uint32_t>(
+          std::max(milliseconds{0}, criteria_.time_left).count()),
+      .home_regions = criteria_.home_regions,
+      .excluded = criteria_.excluded};
 }
 
-// The owner's view of the targets may be older than this entry's: what has
-// left here since gets nothing more.
-std::optional<placing> request_placer::Read(const placing_answer& answer,
-                                            const target_set& targets) const {
-  if (answer.verdict == placing_verdict::kRefused) {
+// The owner's list of targets may be older than this entry's. A target that has
+// been removed or closed to new work here since then is not used.
+std::optional<placing> request_placer::PlacementFrom(
+    const remote_placement_response& response,
+    const target_set& targets) const {
+  if (response.verdict == remote_placement_verdict::kRefused) {
     return placing_refusal{
-        .reason = ResultCodeOf(answer.reason)
+        .reason = ResultCodeOf(response.reason)
                       .value_or(result_code::kNoTargetAvailable),
-        .retry_after = milliseconds(answer.retry_after_ms),
-        .candidates = answer.candidates,
-        .wait = milliseconds(answer.wait_ms)};
+        .retry_after = milliseconds(response.retry_after_ms),
+        .candidates = response.candidates,
+        .wait = milliseconds(response.wait_ms)};
   }
-  if (answer.verdict != placing_verdict::kPlaced)
+  if (response.verdict != remote_placement_verdict::kPlaced)
     return std::nullopt;
   const auto& known = targets.OfService(service_);
-  const auto target = std::ranges::find(known, answer.target, &live_target::id);
+  const auto target =
+      std::ranges::find(known, response.target, &live_target::id);
   if (target == known.end() || !targets.IsOpen(*target))
     return std::nullopt;
   placed_attempt attempt{.target = *target,
-                         .knows_key = answer.knows_key != 0,
-                         .load_before = answer.load_before};
-  if (answer.load_age_ms >= 0)
-    attempt.load_age = milliseconds(answer.load_age_ms);
+                         .knows_key = response.knows_key != 0,
+                         .load_before = response.load_before};
+  if (response.load_age_ms >= 0)
+    attempt.load_age = milliseconds(response.load_age_ms);
   return attempt;
 }
 
-placed_request request_placer::PlaceHere(const target_set& targets,
-                                         const entry_list& entries) {
+placed_request request_placer::PlaceLocally(const target_set& targets,
+                                            const entry_list& entries) {
   const auto now = context_.clock.now();
   return context_.shards.WithService(service_, [&](auto& shard) {
-    shard.ReleaseExpired(Service(), now);
+    shard.ReleaseExpired(ServiceConfig(), now);
     return placed_request{
-        .place = shard.tracker.Place(wish_, targets, Service(), service_,
-                                     context_.settings.place,
-                                     entries.region_sharers, now)};
+        .decision = shard.tracker.Place(criteria_, targets, ServiceConfig(),
+                                        service_, context_.settings.place,
+                                        entries.settled_region_members, now)};
   });
 }
 
-milliseconds request_placer::Ended(const placed_request& placed,
-                                   const attempt_end& end) {
+milliseconds request_placer::OnAttemptEnd(const placed_request& placed,
+                                          const attempt_end& end) {
   if (!placed.owner.empty()) {
-    context_.placings.End(placed.owner_address, service_, placed.lease, end);
+    context_.remote_placement.ReportEnd(placed.owner_address, service_,
+                                        placed.lease_id, end);
     return milliseconds{0};
   }
-  const auto& attempt = std::get<placed_attempt>(placed.place);
+  const auto& attempt = std::get<placed_attempt>(placed.decision);
   return context_.shards.WithService(service_, [&](auto& shard) {
-    return shard.tracker.Ended(wish_, attempt, end, Service(),
+    return shard.tracker.Ended(criteria_, attempt, end, ServiceConfig(),
                                context_.clock.now());
   });
 }
 
 void request_placer::Exclude(const std::string& target) {
-  wish_.excluded.push_back(target);
+  criteria_.excluded.push_back(target);
 }
 
-const traffic_service* request_placer::Service() const {
+const traffic_service* request_placer::ServiceConfig() const {
   return request_.manifest->FindService(service_);
 }
 
--- a/src/libsamphire/traffic/request_placer.h
+++ b/src/libsamphire/traffic/request_placer.h
@@ -6,45 +6,56 @@
 
 #include "routing/placing_request.h"
 #include "traffic/placed_request.h"
-#include "traffic/placing_client.h"
+#include "traffic/placement_client.h"
 #include "traffic/traffic_context.h"
 #include "traffic/traffic_request.h"
 
 namespace samphire {
 
-// Decides for one request where its attempts go: by the word of the entry that
-// owns its key if that answers in time, else by what this entry knows.
+// Chooses the targets for the attempts of one request. Uses the decision of the
+// entry that owns the request's key if that entry responds in time, and
+// otherwise decides from this entry's own state. Not thread-safe: each request
+// has a placer of its own, used by the thread that handles the request.
 class request_placer {
  public:
   request_placer(traffic_context& context,
                  const traffic_request& request,
                  std::string service);
 
-  // Of the next attempt; targets that were tried are left out.
+  // Chooses the target for the next attempt among those that are not excluded.
+  // Blocks for up to 50 ms while the key's owner is asked. A chosen target
+  // counts the attempt as load until OnAttemptEnd().
   placed_request Place();
-  // Returns for how long the target is left alone now, as far as known here.
-  milliseconds Ended(const placed_request& placed, const attempt_end& end);
+  // Reports the end of an attempt to the entry that placed it. Returns for how
+  // long the target is ejected as a result; 0 if it is not ejected or the key's
+  // owner decides on that.
+  milliseconds OnAttemptEnd(const placed_request& placed,
+                            const attempt_end& end);
+  // Leaves the target with this id out of further attempts.
   void Exclude(const std::string& target);
 
-  const placing_request& wish() const { return wish_; }
+  // What the choice depends on, as of the last Place().
+  const placing_request& criteria() const { return criteria_; }
   const std::string& service() const { return service_; }
 
  private:
-  // Nothing if this entry is to decide.
+  // Returns nothing if this entry must decide.
   std::optional<placed_request> PlaceByOwner(const target_set& targets,
                                              const entry_list& entries);
-  placed_request PlaceHere(const target_set& targets,
-                           const entry_list& entries);
-  placing_ask Ask() const;
-  // Nothing if the owner's choice can't be used here.
-  std::optional<placing> Read(const placing_answer& answer,
-                              const target_set& targets) const;
-  const traffic_service* Service() const;
+  placed_request PlaceLocally(const target_set& targets,
+                              const entry_list& entries);
+  remote_placement_request BuildRequest() const;
+  // Returns nothing if the owner left the decision to this entry or chose a
+  // target that is not open here.
+  std::optional<placing> PlacementFrom(
+      const remote_placement_response& response,
+      const target_set& targets) const;
+  const traffic_service* ServiceConfig() const;
 
   traffic_context& context_;
   const traffic_request& request_;
   const std::string service_;
-  placing_request wish_;
+  placing_request criteria_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/service_shards.h
+++ b/src/libsamphire/traffic/service_shards.h
@@ -14,33 +14,41 @@
 
 namespace samphire {
 
-// What requests of one service share.
+// State that all requests of one service share. Accessed under the lock that
+// service_shards holds.
 struct service_shard {
-  explicit service_shard(const mechanism_set& without) : tracker(without) {}
+  explicit service_shard(const mechanism_set& disabled_mechanisms)
+      : tracker(disabled_mechanisms) {}
 
-  // Forgets the work of peers that did not tell of its end in time.
+  // Ends the leases that have expired because a peer did not report the end of
+  // its attempt in time, and removes their load.
   void ReleaseExpired(const traffic_service* service, time_point now);
 
   service_tracker tracker;
   retry_window retries;
-  // Of attempts that were placed here for peers.
+  // Leases of the attempts that this entry placed for peers.
   placing_leases leases;
 };
 
-// The state that requests decide by, each service's under a lock that few
-// others share, and each route's division among services.
+// The state on which placement decisions depend: that of each service, and the
+// weighted split of each route among services. Divided into shards with a lock
+// each, so that requests for different services rarely contend. Thread-safe.
 class service_shards {
  public:
-  explicit service_shards(mechanism_set without = {})
-      : without_(std::move(without)) {}
+  // `disabled_mechanisms` are left out of placement.
+  explicit service_shards(mechanism_set disabled_mechanisms = {})
+      : disabled_mechanisms_(std::move(disabled_mechanisms)) {}
 
-  // Calls `use` with what is known of the service, under its lock.
+  // Calls `use` with the service's state while holding its lock, and returns
+  // the result. `use` must not block.
   template <typename F>
   auto WithService(const std::string& service, F use) {
     return services_.With(service, [&](auto& services) {
-      return use(services.try_emplace(service, without_).first->second);
+      return use(
+          services.try_emplace(service, disabled_mechanisms_).first->second);
     });
   }
+  // Calls `use` with the split of the route, likewise.
   template <typename F>
   auto WithSplit(const std::string& route, F use) {
     return splits_.With(route,
@@ -48,7 +56,7 @@
   }
 
  private:
-  const mechanism_set without_;
+  const mechanism_set disabled_mechanisms_;
   sharded<std::map<std::string, service_shard>> services_;
   sharded<std::map<std::string, weighted_split>> splits_;
 };
--- a/src/libsamphire/traffic/shared_store.cc
+++ b/src/libsamphire/traffic/shared_store.cc
@@ -11,30 +11,34 @@
 
 namespace {
 
-// A watcher's own watch returns this often, which tells it and its peers that
-// the platform is still there. Few entries pay for it.
-constexpr milliseconds kPlatformWait{1000};
-// A peer that stands still is given up after this and the margin; with two such
-// peers a change is still seen within three seconds.
-constexpr milliseconds kPeerWait{1000};
-constexpr milliseconds kPeerMargin{250};
-// A peer that did not answer is not asked again for so long, and one that has
-// no fresh copy for this.
-constexpr milliseconds kSilencePause{3000};
-constexpr milliseconds kDeclinedPause{500};
-// Time limit for a deputy to obtain a fresh copy.
-constexpr milliseconds kDeputyWait{400};
-// Delay after a deputy returns no events. A deputy with a fresh copy replies
+// Upper bound on the duration of one watch of the platform. Each return
+// confirms to the watcher and its followers that the platform is reachable.
+// Only the few watchers cause this load.
+constexpr milliseconds kPlatformWatchTime{1000};
+// Upper bound on the duration of one watch of a peer. A stalled peer is
+// abandoned after this time and the margin, so that with two such peers a
+// change is still received within three seconds.
+constexpr milliseconds kPeerWatchTime{1000};
+// Added to the requested wait to obtain the timeout of a call to a peer.
+constexpr milliseconds kPeerResponseMargin{250};
+// Time for which a peer that did not respond is not queried again.
+constexpr milliseconds kUnresponsivePause{3000};
+// Time for which a peer that has no fresh copy is not queried again.
+constexpr milliseconds kStalePause{500};
+// Time limit for a backup to obtain a fresh copy.
+constexpr milliseconds kBackupWatchTime{400};
+// Delay after a backup returns no events. A backup with a fresh copy responds
 // immediately even if nothing has changed, so without a delay its followers
 // would overload it while the watchers cannot reach the platform.
 constexpr milliseconds kNoEventsPause{250};
-// When no watcher has a fresh copy, the platform is mostly down, and a whole
-// fleet that asks it at once would be its next trouble.
-constexpr milliseconds kDeputyPause{1000};
-constexpr milliseconds kFollowerPause{2000};
-// How often an entry that has just started asks the watchers that it knows by
-// then.
-constexpr milliseconds kMeetingStep{250};
+// Back-off of backups and followers after a failed query of the platform. If no
+// watcher has a fresh copy, the platform is probably down, and queries of the
+// whole fleet at once would overload it when it recovers.
+constexpr milliseconds kBackupPlatformBackoff{1000};
+constexpr milliseconds kFollowerPlatformBackoff{2000};
+// Interval at which an entry that has just started and is still discovering its
+// region queries the watchers that it knows so far.
+constexpr milliseconds kDiscoveryPollInterval{250};
 
 }  // namespace
 
@@ -43,9 +47,9 @@
                            connection_pool& pool,
                            peer_signer& signer,
                            const clock_source& clock,
-                           milliseconds meeting_time,
-                           plan_source plan,
-                           peer_source peers)
+                           milliseconds discovery_time,
+                           plan_provider plan,
+                           peer_provider peers)
     : platform_(platform),
       relay_(relay),
       pool_(pool),
@@ -53,7 +57,7 @@
       clock_(clock),
       plan_(std::move(plan)),
       peers_(std::move(peers)),
-      met_at_(clock.now() + meeting_time) {}
+      discovery_ends_at_(clock.now() + discovery_time) {}
 
 result<watch_batch> shared_store::Watch(const std::string& prefix,
                                         std::uint64_t cursor,
@@ -62,16 +66,17 @@
     return WatchFresh(prefix, cursor, wait);
   auto batch = List(prefix);
   if (!batch)
-    return AskLastKnown(prefix);
+    return FetchLastKnown(prefix);
   return batch;
 }
 
-// The first listing may lag: what it lacks comes with the watch that follows.
-// After lost history the old cursor is of no use to peers either, and a listing
-// that lags could be lost history again.
+// The first listing may lag: the watch that follows returns what it lacks. A
+// later listing is needed because the platform no longer has the history after
+// the cursor. Peers can't use that cursor either, and the cursor of a listing
+// that lags could again be older than the platform's history.
 result<watch_batch> shared_store::List(const std::string& prefix) {
-  if (clock_.now() >= met_at_)
-    return WatchFresh(prefix, 0, kPeerWait);
+  if (clock_.now() >= discovery_ends_at_)
+    return WatchFresh(prefix, 0, kPeerWatchTime);
   auto batch = platform_.ListLagging(prefix);
   if (batch)
     relay_.Publish(prefix, batch.value(), false);
@@ -82,53 +87,57 @@
                                              std::uint64_t cursor,
                                              milliseconds wait) {
   const auto plan = plan_();
-  const auto peer_wait = std::min(wait, kPeerWait);
-  auto answers = AskRegion(
+  const auto peer_wait = std::min(wait, kPeerWatchTime);
+  auto responses = QueryRegion(
       plan, {.prefix = prefix,
              .cursor = cursor,
              .wait_ms = static_cast<std::uint32_t>(peer_wait.count())});
-  if (answers.batch) {
-    WithTurn(prefix, [](auto& turn) { turn.OnNews(); });
-    relay_.Publish(prefix, answers.batch.value(), false);
-    return std::move(answers.batch);
+  if (responses.batch) {
+    WithFallback(prefix, [](auto& fallback) { fallback.OnUpdate(); });
+    relay_.Publish(prefix, responses.batch.value(), false);
+    return std::move(responses.batch);
   }
-  if (clock_.now() < met_at_) {
-    std::this_thread::sleep_for(kMeetingStep);
+  if (clock_.now() < discovery_ends_at_) {
+    std::this_thread::sleep_for(kDiscoveryPollInterval);
     return watch_batch{.cursor = cursor, .reset = false, .events = {}};
   }
-  WithTurn(prefix, [&](auto& turn) {
-    if (answers.stale && plan.role == source_role::kFollower)
-      turn.OnPeersStale(clock_.now());
-    else if (answers.silent)
-      turn.OnPeersSilent();
+  WithFallback(prefix, [&](auto& fallback) {
+    if (responses.stale && plan.role == source_role::kFollower)
+      fallback.OnPeersStale(clock_.now());
+    else if (responses.unreachable)
+      fallback.OnPeersUnreachable();
   });
-  return AskPlatform(prefix, cursor, std::min(wait, kPlatformWait), plan.role);
+  return WatchPlatform(prefix, cursor, std::min(wait, kPlatformWatchTime),
+                       plan.role);
 }
 
-shared_store::peer_answers shared_store::AskRegion(const source_plan& plan,
-                                                   mirror_ask ask) {
-  auto answers = AskPeers(plan.watchers, ask);
-  if (answers.batch || plan.role != source_role::kFollower)
-    return answers;
-  ask.await_fresh = true;
-  ask.wait_ms = static_cast<std::uint32_t>(kDeputyWait.count());
-  const auto stale_rounds = WithTurn(
-      ask.prefix, [](const auto& turn) { return turn.stale_rounds(); });
-  auto deputies = AskPeers(DeputiesToAsk(plan.deputies, stale_rounds), ask);
-  if (deputies.batch && deputies.batch.value().events.empty())
+shared_store::peer_responses shared_store::QueryRegion(const source_plan& plan,
+                                                       mirror_request request) {
+  auto responses = QueryPeers(plan.watchers, request);
+  if (responses.batch || plan.role != source_role::kFollower)
+    return responses;
+  request.await_fresh = true;
+  request.wait_ms = static_cast<std::uint32_t>(kBackupWatchTime.count());
+  const auto stale_rounds = WithFallback(
+      request.prefix,
+      [](const auto& fallback) { return fallback.stale_rounds(); });
+  auto backups =
+      QueryPeers(BackupsToQuery(plan.backups, stale_rounds), request);
+  if (backups.batch && backups.batch.value().events.empty())
     std::this_thread::sleep_for(kNoEventsPause);
-  deputies.stale |= answers.stale;
-  deputies.silent |= answers.silent;
-  return deputies;
+  backups.stale |= responses.stale;
+  backups.unreachable |= responses.unreachable;
+  return backups;
 }
 
-// An entry that starts while the platform is away would refuse every caller
-// until its return, and planned restarts would empty a region one by one. Its
-// peers go on by what they knew, so it may start from that as well.
-result<watch_batch> shared_store::AskLastKnown(const std::string& prefix) {
+// An entry that starts during an outage of the platform would otherwise refuse
+// all callers until the platform recovers, and planned restarts would take the
+// entries of a region out of service one by one. Its peers keep serving from
+// the objects that they last knew, so this entry may start from those as well.
+result<watch_batch> shared_store::FetchLastKnown(const std::string& prefix) {
   for (const auto& peer : peers_()) {
-    auto batch =
-        AskPeer(peer, {.prefix = prefix, .last_known = true}, kPeerMargin);
+    auto batch = QueryPeer(peer, {.prefix = prefix, .last_known = true},
+                           kPeerResponseMargin);
     if (!batch)
       continue;
     Log(log_level::kWarning, "started-from-peer",
@@ -139,61 +148,69 @@
     relay_.Publish(prefix, batch.value(), false);
     return batch;
   }
-  return MakeError(result_code::kStoreUnreachable, "nobody knows anything");
+  return MakeError(
+      result_code::kStoreUnreachable,
+      "platform unreachable, and no peer has a copy of its objects");
 }
 
-shared_store::peer_answers shared_store::AskPeers(
+shared_store::peer_responses shared_store::QueryPeers(
     std::span<const std::string> peers,
-    const mirror_ask& ask) {
-  peer_answers answers{
-      .batch = MakeError(result_code::kStoreUnreachable, "no peer is fresh")};
+    const mirror_request& request) {
+  peer_responses responses{.batch = MakeError(result_code::kStoreUnreachable,
+                                              "no peer has a fresh copy")};
   for (const auto& peer : peers) {
     if (pauses_.IsPaused(peer, clock_.now()))
       continue;
-    auto batch = AskPeer(peer, ask, milliseconds(ask.wait_ms) + kPeerMargin);
+    auto batch = QueryPeer(peer, request,
+                           milliseconds(request.wait_ms) + kPeerResponseMargin);
     if (batch) {
-      answers.batch = std::move(batch);
-      return answers;
+      responses.batch = std::move(batch);
+      return responses;
     }
-    const bool declined = batch.error().code == result_code::kPeerDeclined;
-    answers.stale |= declined;
-    answers.silent |= !declined;
-    pauses_.Pause(peer,
-                  clock_.now() + (declined ? kDeclinedPause : kSilencePause));
+    const bool has_no_fresh_copy =
+        batch.error().code == result_code::kPeerDeclined;
+    responses.stale |= has_no_fresh_copy;
+    responses.unreachable |= !has_no_fresh_copy;
+    pauses_.Pause(
+        peer,
+        clock_.now() + (has_no_fresh_copy ? kStalePause : kUnresponsivePause));
   }
-  return answers;
+  return responses;
 }
 
-result<watch_batch> shared_store::AskPeer(const std::string& peer,
-                                          const mirror_ask& ask,
-                                          milliseconds timeout) {
+result<watch_batch> shared_store::QueryPeer(const std::string& peer,
+                                            const mirror_request& request,
+                                            milliseconds timeout) {
   BOOST_OUTCOME_TRY(bytes, PostToPeer(pool_, signer_, peer, kMirrorPath,
-                                      EncodeBinary(ask), timeout));
+                                      EncodeBinary(request), timeout));
   auto batch = DecodeBinary<watch_batch>(bytes);
   if (!batch)
     return MakeError(result_code::kPeerMalformed, peer);
   return std::move(*batch);
 }
 
-result<watch_batch> shared_store::AskPlatform(const std::string& prefix,
-                                              std::uint64_t cursor,
-                                              milliseconds wait,
-                                              source_role role) {
-  const bool watches = role == source_role::kWatcher;
-  const auto may_ask = WithTurn(
-      prefix, [&](const auto& turn) { return turn.MayAsk(clock_.now()); });
-  if (!watches && !may_ask)
-    return MakeError(result_code::kStoreUnreachable, "no watcher is fresh");
+result<watch_batch> shared_store::WatchPlatform(const std::string& prefix,
+                                                std::uint64_t cursor,
+                                                milliseconds wait,
+                                                source_role role) {
+  const bool is_watcher = role == source_role::kWatcher;
+  const auto may_query = WithFallback(prefix, [&](const auto& fallback) {
+    return fallback.MayQuery(clock_.now());
+  });
+  if (!is_watcher && !may_query)
+    return MakeError(
+        result_code::kStoreUnreachable,
+        "no peer has a fresh copy; platform not queried during back-off");
   auto batch = platform_.Watch(prefix, cursor, wait);
   if (batch)
     relay_.Publish(prefix, batch.value());
-  WithTurn(prefix, [&](auto& turn) {
+  WithFallback(prefix, [&](auto& fallback) {
     if (batch)
-      turn.OnNews();
+      fallback.OnUpdate();
     else
-      turn.OnPlatformFailed(clock_.now(), role == source_role::kDeputy
-                                              ? kDeputyPause
-                                              : kFollowerPause);
+      fallback.OnPlatformFailed(clock_.now(), role == source_role::kBackup
+                                                  ? kBackupPlatformBackoff
+                                                  : kFollowerPlatformBackoff);
   });
   return batch;
 }
--- a/src/libsamphire/traffic/shared_store.h
+++ b/src/libsamphire/traffic/shared_store.h
@@ -15,65 +15,75 @@
 #include "store/object_relay.h"
 #include "store/object_watcher.h"
 #include "traffic/mirror_messages.h"
-#include "traffic/platform_turn.h"
+#include "traffic/platform_fallback.h"
 #include "traffic/source_plan.h"
 
 namespace samphire {
 
-// The platform's store as a fleet shares it: a few entries of each region
-// watch the platform, the others watch those, and turn to the platform
-// themselves only when nobody near has a fresh copy.
+// Watches the platform's store with few calls in a large fleet: a few watchers
+// of each region watch the platform, the other entries follow those watchers,
+// and query the platform themselves only if no watcher or backup of their
+// region has a fresh copy. Thread-safe; calls block the calling thread.
 class shared_store final : public object_watcher {
  public:
-  // Where a region learns of changes, as it is now.
-  using plan_source = std::function<source_plan()>;
-  // Peer addresses of all that may tell what they knew last.
-  using peer_source = std::function<std::vector<std::string>()>;
+  // Returns the peers to follow, according to current membership.
+  using plan_provider = std::function<source_plan()>;
+  // Returns the peer addresses of all entries that may provide their last known
+  // objects.
+  using peer_provider = std::function<std::vector<std::string>()>;
 
+  // For `discovery_time` after the construction, this entry does not know
+  // enough members of its region to tell whether it is a watcher; it then takes
+  // its first listing from the platform and changes from peers only.
   shared_store(object_watcher& platform,
                object_relay& relay,
                connection_pool& pool,
                peer_signer& signer,
                const clock_source& clock,
-               milliseconds meeting_time,
-               plan_source plan,
-               peer_source peers);
+               milliseconds discovery_time,
+               plan_provider plan,
+               peer_provider peers);
 
+  // Returns changes under `prefix` after `cursor`, or all objects for cursor 0.
+  // If neither a peer nor the platform has a fresh copy, cursor 0 returns the
+  // last known objects of any peer. Fails with kStoreUnreachable or
+  // kStoreCorrupt.
   result<watch_batch> Watch(const std::string& prefix,
                             std::uint64_t cursor,
                             milliseconds wait) override;
 
  private:
-  // What came of asking several peers in turn.
-  struct peer_answers {
+  // The result of querying several peers in turn.
+  struct peer_responses {
     result<watch_batch> batch;
-    // Some answered that they have no fresh copy; some did not answer. Neither
-    // where all are left alone for now.
+    // Whether at least one peer responded that it has no fresh copy, and
+    // whether at least one did not respond. Both are false if all peers are
+    // paused after earlier failures.
     bool stale = false;
-    bool silent = false;
+    bool unreachable = false;
   };
 
   result<watch_batch> List(const std::string& prefix);
   result<watch_batch> WatchFresh(const std::string& prefix,
                                  std::uint64_t cursor,
                                  milliseconds wait);
-  // What a watcher tells, or for a follower a deputy.
-  peer_answers AskRegion(const source_plan& plan, mirror_ask ask);
-  result<watch_batch> AskLastKnown(const std::string& prefix);
-  peer_answers AskPeers(std::span<const std::string> peers,
-                        const mirror_ask& ask);
-  result<watch_batch> AskPeer(const std::string& peer,
-                              const mirror_ask& ask,
-                              milliseconds timeout);
-  result<watch_batch> AskPlatform(const std::string& prefix,
-                                  std::uint64_t cursor,
-                                  milliseconds wait,
-                                  source_role role);
-  // Calls `use` with this prefix's turn, under the lock.
+  // Queries the watchers and then, for a follower, some of the backups.
+  peer_responses QueryRegion(const source_plan& plan, mirror_request request);
+  result<watch_batch> FetchLastKnown(const std::string& prefix);
+  peer_responses QueryPeers(std::span<const std::string> peers,
+                            const mirror_request& request);
+  result<watch_batch> QueryPeer(const std::string& peer,
+                                const mirror_request& request,
+                                milliseconds timeout);
+  result<watch_batch> WatchPlatform(const std::string& prefix,
+                                    std::uint64_t cursor,
+                                    milliseconds wait,
+                                    source_role role);
+  // Calls `use` with the fallback state of this prefix while holding its lock.
   template <typename F>
-  auto WithTurn(const std::string& prefix, F use) {
-    std::lock_guard guard(turns_lock_);
-    return use(turns_[prefix]);
+  auto WithFallback(const std::string& prefix, F use) {
+    std::lock_guard guard(fallbacks_lock_);
+    return use(fallbacks_[prefix]);
   }
 
   object_watcher& platform_;
@@ -81,14 +91,16 @@
   connection_pool& pool_;
   peer_signer& signer_;
   const clock_source& clock_;
-  const plan_source plan_;
-  const peer_source peers_;
-  // From then on the region is known well enough to watch for it.
-  const time_point met_at_;
-  // Peers that failed, by their addresses.
+  const plan_provider plan_;
+  const peer_provider peers_;
+  // From this time on, this entry knows its region well enough to act as a
+  // watcher for it.
+  const time_point discovery_ends_at_;
+  // Peers that recently failed, by address.
   pause_list pauses_;
-  std::mutex turns_lock_;
-  std::map<std::string, platform_turn> turns_;
+  // Guards fallbacks_, which is keyed by prefix.
+  std::mutex fallbacks_lock_;
+  std::map<std::string, platform_fallback> fallbacks_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/source_plan.cc
+++ b/src/libsamphire/traffic/source_plan.cc
@@ -11,21 +11,26 @@
 
 namespace {
 
-// Two watchers, so that one may be cut off or stand still; one where each
-// spared watch is a quarter of the cost.
+// Number of entries of a region that watch the platform. With two, one may be
+// unreachable or stalled.
 constexpr std::size_t kWatchers = 2;
-constexpr std::size_t kFewWatchers = 1;
-constexpr std::size_t kSmallRegion = 4;
-// When both watchers are cut off from the platform and others are not, at least
-// one of these mostly isn't either.
-constexpr std::size_t kDeputies = 4;
-// Deputies asked per round. Each one without a fresh copy delays the caller.
-constexpr std::size_t kAskedDeputies = 2;
+// In a region of up to four entries, one watcher is enough: a second one would
+// add a quarter or more of the cost of all entries watching.
+constexpr std::size_t kSmallRegionWatchers = 1;
+constexpr std::size_t kSmallRegionEntries = 4;
+// Number of backup watchers of a region. If both watchers are partitioned from
+// the platform and other entries are not, at least one backup usually still
+// reaches it.
+constexpr std::size_t kBackups = 4;
+// Backups queried per round. Each one without a fresh copy delays the caller.
+constexpr std::size_t kBackupsPerRound = 2;
 
-// Those of the own failure domain first, whose bytes cost least, and else in an
-// order of this entry's own: asked in one order by all, the first would carry
-// the whole region and the others nothing.
-std::vector<std::string> InOwnOrder(const std::vector<std::string>& chosen,
+// Returns the peer addresses of `chosen` in the order in which to query them:
+// first those of this entry's own failure domain, since traffic within it costs
+// least, and otherwise in an order specific to this entry. If all entries used
+// the same order, the first peer would serve the whole region and the others
+// nobody.
+std::vector<std::string> QueryOrder(const std::vector<std::string>& chosen,
                                     const entry_place& self,
                                     const entry_list& entries) {
   std::vector<std::tuple<bool, std::uint64_t, std::string>> order;
@@ -52,39 +57,40 @@
 
 }  // namespace
 
-// Made for large regions: if each entry turned to the platform by itself when
-// the watchers can't tell, an outage of a second would cost hundreds of calls,
-// and the platform would come back to a crowd.
+// Backups matter in large regions: if every entry queried the platform itself
+// whenever the watchers have no fresh copy, an outage of a second would cause
+// hundreds of calls and the platform would face a burst of load as it recovers.
 source_plan PlanSources(const entry_place& self, const entry_list& entries) {
-  const auto count =
-      entries.names.size() <= kSmallRegion ? kFewWatchers : kWatchers;
-  auto watchers = PickByRendezvous("watcher", entries.names, count + kDeputies);
-  const auto first_deputy =
+  const auto count = entries.names.size() <= kSmallRegionEntries
+                         ? kSmallRegionWatchers
+                         : kWatchers;
+  auto watchers = PickByRendezvous("watcher", entries.names, count + kBackups);
+  const auto first_backup =
       static_cast<std::ptrdiff_t>(std::min(count, watchers.size()));
-  const std::vector<std::string> deputies(watchers.begin() + first_deputy,
-                                          watchers.end());
-  watchers.resize(static_cast<std::size_t>(first_deputy));
+  const std::vector<std::string> backups(watchers.begin() + first_backup,
+                                         watchers.end());
+  watchers.resize(static_cast<std::size_t>(first_backup));
   if (watchers.empty() || Contains(watchers, self.instance))
     return {};
-  return {.role = Contains(deputies, self.instance) ? source_role::kDeputy
-                                                    : source_role::kFollower,
-          .watchers = InOwnOrder(watchers, self, entries),
-          .deputies = InOwnOrder(deputies, self, entries)};
+  return {.role = Contains(backups, self.instance) ? source_role::kBackup
+                                                   : source_role::kFollower,
+          .watchers = QueryOrder(watchers, self, entries),
+          .backups = QueryOrder(backups, self, entries)};
 }
 
 // The platform may reject some entries and serve others for an unbounded time.
-// If a follower always asked the same deputies and those were rejected, it
-// would keep an outdated configuration although other deputies have the current
+// If a follower always queried the same backups and those were rejected, it
+// would keep an outdated configuration although other backups have the current
 // one.
-std::vector<std::string> DeputiesToAsk(const std::vector<std::string>& deputies,
-                                       std::size_t stale_rounds) {
-  std::vector<std::string> asked;
-  const auto count = std::min(kAskedDeputies, deputies.size());
+std::vector<std::string> BackupsToQuery(const std::vector<std::string>& backups,
+                                        std::size_t stale_rounds) {
+  std::vector<std::string> queried;
+  const auto count = std::min(kBackupsPerRound, backups.size());
   for (std::size_t i = 0; i < count; ++i) {
-    const auto index = stale_rounds * kAskedDeputies + i;
-    asked.push_back(deputies[index % deputies.size()]);
+    const auto index = stale_rounds * kBackupsPerRound + i;
+    queried.push_back(backups[index % backups.size()]);
   }
-  return asked;
+  return queried;
 }
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/source_plan.h
+++ b/src/libsamphire/traffic/source_plan.h
@@ -11,23 +11,25 @@
 
 namespace samphire {
 
-// Whom an entry asks for changes of the platform's objects.
+// The peers that an entry queries for changes of the platform's objects.
 struct source_plan {
   source_role role = source_role::kWatcher;
-  // Peer addresses in the order in which to ask them; this entry is not among
-  // them, and a watcher asks none.
+  // Peer addresses in the order in which to query them. They do not include
+  // this entry; both lists are empty for a watcher.
   std::vector<std::string> watchers;
-  std::vector<std::string> deputies;
+  std::vector<std::string> backups;
 };
 
-// All entries that know the same others agree on who watches.
+// Assigns roles by rendezvous hashing. All entries of a region that know the
+// same members choose the same watchers and backups; an entry in an empty
+// region is a watcher.
 source_plan PlanSources(const entry_place& self, const entry_list& entries);
 
-// Returns up to two of `deputies` to ask next. `stale_rounds` is the number of
+// Returns up to two of `backups` to query next. `stale_rounds` is the number of
 // preceding rounds in which peers had no fresh copy; successive rounds cycle
-// through all deputies.
-std::vector<std::string> DeputiesToAsk(const std::vector<std::string>& deputies,
-                                       std::size_t stale_rounds);
+// through all backups.
+std::vector<std::string> BackupsToQuery(const std::vector<std::string>& backups,
+                                        std::size_t stale_rounds);
 
 }  // namespace samphire
 
--- a/src/libsamphire/traffic/source_role.h
+++ b/src/libsamphire/traffic/source_role.h
@@ -3,13 +3,15 @@
 
 namespace samphire {
 
-// How an entry learns of changes of the platform's objects.
+// How an entry obtains changes of the platform's objects.
 enum class source_role {
-  // It watches the platform, and its region follows it.
+  // Watches the platform itself; the other entries of its region follow it.
   kWatcher,
-  // It follows the watchers, and watches the platform when they can't.
-  kDeputy,
-  // It follows watchers and then deputies.
+  // Backup watcher: follows the watchers, and watches the platform while they
+  // have
+  // no fresh copy.
+  kBackup,
+  // Follows the watchers, or the backups while the watchers have no fresh copy.
   kFollower,
 };
 
--- a/src/libsamphire/traffic/target_exchange.cc
+++ b/src/libsamphire/traffic/target_exchange.cc
@@ -13,15 +13,17 @@
 
 namespace {
 
-// Answers up to this size are held. Most exports fit; with tens of requests in
-// progress the memory stays at a few MB.
-constexpr std::size_t kHeldBytes = std::size_t{128} << 10U;
-constexpr std::size_t kPieceBytes = std::size_t{16} << 10U;
-// Two regions are some 40 to 70 ms apart and back; a target that takes longer
-// to accept is dead or cut off.
+// Responses up to this size are buffered. Most exports fit, and the memory used
+// stays at a few MB with tens of requests in progress.
+constexpr std::size_t kMaxBufferedBytes = std::size_t{128} << 10U;
+// Upper bound on one read of a response's body.
+constexpr std::size_t kChunkBytes = std::size_t{16} << 10U;
+// The round-trip time between two regions is 40 to 70 ms; a target that has not
+// accepted a connection after this time is down or unreachable.
 constexpr milliseconds kConnectTimeout{250};
 
-// RUNNING,WAITING,SLOTS.
+// Parses a load report of the form RUNNING,WAITING,SLOTS. Returns nothing if it
+// is malformed.
 std::optional<target_report> ReadReport(const std::string& text) {
   target_report report;
   std::istringstream in(text);
@@ -31,9 +33,9 @@
   return std::nullopt;
 }
 
-// Nothing that speaks against the target: its caller left, or sent a body that
-// did not come whole.
-bool IsCallersFault(result_code code) {
+// Whether `code` is no evidence against the target: the caller disconnected or
+// sent an incomplete or invalid body.
+bool IsCallerFault(result_code code) {
   return code == result_code::kCallerGone ||
          code == result_code::kMalformedRequest ||
          code == result_code::kBodyTooLarge ||
@@ -48,15 +50,16 @@
                                  answer_sink& sink)
     : context_(context), request_(request), caller_(caller), sink_(sink) {}
 
-// What may not be repeated, or can't be for want of its whole body, goes out on
-// a new connection: on a reused one that the target was just closing, nobody
-// could tell whether it ran.
+// A request that must not be repeated, or can't be because its body is not
+// buffered whole, is sent on a new connection. On a pooled connection that the
+// target is closing at that moment, it would be unknown whether the request
+// ran.
 target_exchange_end target_exchange::Run(const live_target& target) {
   const auto started = context_.clock.now();
   target_exchange_end end;
-  const bool once =
+  const bool needs_fresh_connection =
       !request_.route->idempotent || request_.body_rest != nullptr;
-  if (!TryOnce(target, once, end)) {
+  if (!TryOnce(target, needs_fresh_connection, end)) {
     end = {};
     TryOnce(target, true, end);
   }
@@ -117,25 +120,25 @@
     end.reason = connected.error().code;
     return true;
   }
-  // On a machine that is short of processor time a request may have waited so
-  // long that its caller has left; sent now, it would be work for nobody.
+  // On an overloaded CPU, a request may have waited for so long that its caller
+  // has disconnected; sending it would waste the target's capacity.
   if (caller_.IsGone()) {
     Fail(result_code::kCallerGone, end);
     return true;
   }
   end.may_have_run = true;
-  end.body_spent = request_.body_rest != nullptr;
+  end.body_consumed = request_.body_rest != nullptr;
   if (const auto sent =
           exchange.Send(HeadFor(target), request_.body, request_.body_rest);
       !sent)
     Fail(sent.error().code, end);
   else
-    TakeAnswer(exchange, end);
+    ReceiveResponse(exchange, end);
   return !exchange.failed_on_stale_connection() || fresh;
 }
 
-void target_exchange::TakeAnswer(http_exchange& exchange,
-                                 target_exchange_end& end) {
+void target_exchange::ReceiveResponse(http_exchange& exchange,
+                                      target_exchange_end& end) {
   const auto started = context_.clock.now();
   const auto got_head = exchange.ReadHead();
   if (!got_head) {
@@ -143,22 +146,23 @@
     return;
   }
   const auto& head = *got_head.value();
-  Judge(head, end);
+  ClassifyResponse(head, end);
   end.attempt.took = context_.clock.now() - started;
   std::string body;
-  std::array<char, kPieceBytes> piece;
+  std::array<char, kChunkBytes> chunk;
   while (true) {
-    const auto got = exchange.ReadBody(piece);
+    const auto got = exchange.ReadBody(chunk);
     if (!got) {
-      // What says that it did not run needs no whole body.
+      // A response that states that the request did not run is valid even if
+      // its body is truncated.
       if (end.may_have_run)
         Fail(got.error().code, end);
       return;
     }
     if (got.value() == 0)
       break;
-    body.append(piece.data(), got.value());
-    if (body.size() > kHeldBytes &&
+    body.append(chunk.data(), got.value());
+    if (body.size() > kMaxBufferedBytes &&
         end.attempt.result == attempt_result::kAnswered) {
       Stream(exchange, head, body, end);
       return;
@@ -166,13 +170,14 @@
   }
   end.attempt.body_bytes = request_.body_bytes() + body.size();
   if (end.may_have_run && end.reason == result_code::kOk)
-    end.answer = held_answer{head, std::move(body)};
+    end.response = held_answer{head, std::move(body)};
 }
 
-// Only a target's own word that it did not run a request may be believed: any
-// other failure, 503 included, may come after the work was done.
-void target_exchange::Judge(const Poco::Net::HTTPResponse& head,
-                            target_exchange_end& end) const {
+// Only an explicit statement of the target that it did not run the request
+// counts as proof: any other failure, 503 included, may follow after the work
+// was done.
+void target_exchange::ClassifyResponse(const Poco::Net::HTTPResponse& head,
+                                       target_exchange_end& end) const {
   const int status = head.getStatus();
   end.attempt.report = ReadReport(head.get(context_.headers.target_load, ""));
   if (status == Poco::Net::HTTPResponse::HTTP_MISDIRECTED_REQUEST) {
@@ -184,7 +189,8 @@
     end.reason = result_code::kTargetShedding;
     end.may_have_run = false;
   } else if (!head.has(context_.headers.target_stamp)) {
-    // Not made by running the request, whatever it looks like.
+    // The response lacks the stamp that targets set when they run a request, so
+    // it does not result from running the request, whatever its status.
     end.attempt.result = attempt_result::kLost;
     end.reason = result_code::kTargetFailed;
   } else {
@@ -199,14 +205,14 @@
                              target_exchange_end& end) {
   end.streamed = true;
   end.streamed_status = head.getStatus();
-  // Where the length isn't told, what was held is less than the whole, and
-  // enough to count as large.
-  const auto told = head.hasContentLength()
-                        ? static_cast<std::uint64_t>(std::max<Poco::Int64>(
-                              0, head.getContentLength64()))
-                        : 0;
+  // Without a declared length, counts only the buffered part, which is less
+  // than the whole body but enough for the message to count as large.
+  const auto declared = head.hasContentLength()
+                            ? static_cast<std::uint64_t>(std::max<Poco::Int64>(
+                                  0, head.getContentLength64()))
+                            : 0;
   end.attempt.body_bytes =
-      request_.body_bytes() + std::max<std::uint64_t>(told, first.size());
+      request_.body_bytes() + std::max<std::uint64_t>(declared, first.size());
   const auto streamed =
       StreamAnswer(exchange, head, first, answer_note{}, sink_);
   if (streamed.code != result_code::kOk)
@@ -215,7 +221,7 @@
 
 void target_exchange::Fail(result_code code, target_exchange_end& end) const {
   end.reason = code;
-  if (IsCallersFault(code))
+  if (IsCallerFault(code))
     end.attempt.result = attempt_result::kCallerGone;
   else if (code == result_code::kDeadlineExceeded)
     end.attempt.result = attempt_result::kTimedOut;
--- a/src/libsamphire/traffic/target_exchange.h
+++ b/src/libsamphire/traffic/target_exchange.h
@@ -12,9 +12,10 @@
 
 namespace samphire {
 
-// Sends a request to one target and takes its answer. Answers are held whole
-// up to a size, so that one that breaks off can be tried elsewhere; longer
-// ones stream to the caller.
+// Sends a request to one target and receives its response. Responses of up to
+// 128 KiB are buffered whole, so that the request can be retried at another
+// target if the response is truncated; longer ones stream to the caller. Used
+// by the thread that handles the request.
 class target_exchange {
  public:
   target_exchange(const traffic_context& context,
@@ -22,18 +23,24 @@
                   const caller_watch& caller,
                   answer_sink& sink);
 
+  // Makes one attempt at the target. Blocks until the response was received or
+  // streamed, the attempt failed or the request's deadline passed.
   target_exchange_end Run(const live_target& target);
 
  private:
   Poco::Net::HTTPRequest HeadFor(const live_target& target) const;
   void SetTeamHeader(Poco::Net::HTTPRequest& head) const;
   void SetBodyFraming(Poco::Net::HTTPRequest& head) const;
-  // False when a connection that the target had closed took the request away
-  // before the target could see it.
+  // Sends the request once, on a new connection if `fresh`. Returns false if it
+  // was sent on a pooled connection that the target had already closed, so that
+  // the target can't have received it.
   bool TryOnce(const live_target& target, bool fresh, target_exchange_end& end);
-  void TakeAnswer(http_exchange& exchange, target_exchange_end& end);
-  void Judge(const Poco::Net::HTTPResponse& head,
-             target_exchange_end& end) const;
+  void ReceiveResponse(http_exchange& exchange, target_exchange_end& end);
+  // Derives from the response's head whether the target has run the request.
+  void ClassifyResponse(const Poco::Net::HTTPResponse& head,
+                        target_exchange_end& end) const;
+  // Streams the response to the caller, beginning with the part `first` of its
+  // body.
   void Stream(http_exchange& exchange,
               const Poco::Net::HTTPResponse& head,
               std::string_view first,
--- a/src/libsamphire/traffic/target_exchange_end.h
+++ b/src/libsamphire/traffic/target_exchange_end.h
@@ -9,21 +9,23 @@
 
 namespace samphire {
 
-// What came of sending a request to one target.
+// The outcome of one attempt to send a request to a target.
 struct target_exchange_end {
   attempt_end attempt;
-  // Why there is no answer; kOk with one.
+  // Why there is no complete response; kOk if there is one.
   result_code reason = result_code::kOk;
-  // The request may be running or have run there.
+  // Whether the request may be running or have run at the target.
   bool may_have_run = false;
-  // A long body was taken from the caller, so it can't be sent again.
-  bool body_spent = false;
-  // The answer began to stream to the caller: nothing else may be said.
+  // Whether part of a long body was read from the caller without being
+  // buffered, so that the request can't be sent again.
+  bool body_consumed = false;
+  // Whether the response began to stream to the caller, so that no other
+  // response may be sent.
   bool streamed = false;
-  // Of the answer that streamed.
+  // HTTP status of the streamed response.
   int streamed_status = 0;
-  // A whole answer that was not passed on yet.
-  std::optional<held_answer> answer;
+  // A complete response that has not been forwarded to the caller yet.
+  std::optional<held_answer> response;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/team_limiter.cc
+++ b/src/libsamphire/traffic/team_limiter.cc
@@ -10,17 +10,21 @@
 
 namespace {
 
-// Owners in the same region usually answer within a few milliseconds, but may
-// take longer on a small CPU share while they load a new configuration.
-constexpr milliseconds kAnswerTimeout{100};
-// Limits how often requests wait for an entry that does not answer.
-constexpr milliseconds kSilencePause{1000};
-// Fraction of the slack that absorbs short bursts of small teams. The rest
-// covers entries that disagree on a team's owner.
+// Time to wait for a permit. Owners in the same region usually respond within a
+// few milliseconds, but may take longer on a small CPU share while they load a
+// new configuration.
+constexpr milliseconds kResponseTimeout{100};
+// Time for which an entry that did not respond is not queried again, which
+// limits how often requests wait for it.
+constexpr milliseconds kUnresponsivePause{1000};
+// Fraction of the limit's slack that absorbs short bursts of small teams. The
+// rest covers permits granted twice while entries disagree on a team's owner.
 constexpr double kReserveOfSlack = 0.4;
-// Most entries know each other after this time.
+// Retry time given to callers that the startup allowance refuses. Most entries
+// know each other after this time.
 constexpr milliseconds kStartupRetryAfter{500};
-// Maximum time for which another entry's refusal is cached.
+// Maximum time for which another entry's refusal is cached and applied without
+// asking that entry again.
 constexpr milliseconds kMaxRefusalAge{200};
 // Time after a refusal during which a team is assumed to exceed its limit.
 constexpr milliseconds kOverLimitWindow{3000};
@@ -47,13 +51,13 @@
       next_id_(first_id),
       started_(clock.now()) {
   transport_.OnMessage(message_kind::kPermitAsk,
-                       [this](const auto& message) { OnAsk(message); });
+                       [this](const auto& message) { OnRequest(message); });
   transport_.OnMessage(message_kind::kPermitAnswer,
-                       [this](const auto& message) { OnAnswer(message); });
+                       [this](const auto& message) { OnResponse(message); });
   transport_.OnMessage(message_kind::kPermitReturn,
                        [this](const auto& message) { OnReturn(message); });
   transport_.OnMessage(message_kind::kPermitBorrow,
-                       [this](const auto& message) { OnBorrow(message); });
+                       [this](const auto& message) { OnLoanRequest(message); });
   transport_.OnMessage(message_kind::kPermitLoan,
                        [this](const auto& message) { OnLoan(message); });
 }
@@ -66,9 +70,9 @@
     transport_.OnMessage(kind, nullptr);
 }
 
-// Asks the owner, then the deputy. If neither answers, grants from a small
-// share of this entry's own, so that isolated entries keep serving requests
-// without exceeding the limit together.
+// Queries the owner, then the backup owner. If neither responds, grants from a
+// small share of this entry's own, so that isolated entries keep serving
+// requests without exceeding the limit together.
 team_permit team_limiter::Take(const std::string& team) {
   const auto manifest = state_.manifest();
   const auto* known = FindTeam(manifest.get(), team);
@@ -101,15 +105,15 @@
       return team_permit{.decision = TakeLocally(team, role, limit),
                          .role = role};
     const auto& address = entries->peer_addresses[*index];
-    const auto answer = Ask(address, team);
-    if (!answer && WasRefusedRecently(team))
+    const auto response = RequestPermit(address, team);
+    if (!response && WasRefusedRecently(team))
       return team_permit{.decision = {.retry_after = kMaxRefusalAge},
                          .role = permit_role::kAlone};
-    if (!answer || answer->verdict == permit_verdict::kUnknownTeam)
+    if (!response || response->verdict == permit_verdict::kUnknownTeam)
       continue;
     team_permit permit{
-        .decision = {.granted = answer->verdict == permit_verdict::kGranted,
-                     .retry_after = milliseconds(answer->retry_after_ms)},
+        .decision = {.granted = response->verdict == permit_verdict::kGranted,
+                     .retry_after = milliseconds(response->retry_after_ms)},
         .role = role,
         .grantor_address = address};
     if (!permit.decision.granted)
@@ -136,7 +140,7 @@
 // it must not grant permits as the owner.
 bool team_limiter::IsIsolated(const entry_list& entries) const {
   return entries.names.size() <= 1 && entries.other_regions.empty() &&
-         settings_.least_fleet > 1;
+         settings_.min_fleet_size > 1;
 }
 
 // Caches refusals so that a team far over its limit does not overload its owner
@@ -155,8 +159,8 @@
   });
 }
 
-// An owner may be too busy to answer in time because a team far over its limit
-// sends many permit requests. The deputy must not replace such an owner, since
+// An owner may be too busy to respond in time because a team far over its limit
+// causes many permit requests. The backup must not replace such an owner, since
 // both would grant permits and exceed the limit together.
 bool team_limiter::WasRefusedRecently(const std::string& team) {
   return teams_.With(team, [&](auto& teams) {
@@ -175,21 +179,22 @@
   });
 }
 
-std::optional<permit_answer> team_limiter::Ask(const std::string& address,
-                                               const std::string& team) {
-  if (silent_.IsPaused(address, clock_.now()))
+std::optional<permit_response> team_limiter::RequestPermit(
+    const std::string& address,
+    const std::string& team) {
+  if (unresponsive_.IsPaused(address, clock_.now()))
     return std::nullopt;
-  const permit_ask ask{.id = next_id_++, .team = team};
-  questions_.Expect(ask.id, team);
+  const permit_request request{.id = next_id_++, .team = team};
+  pending_.Expect(request.id, team);
   const auto sent =
-      transport_.Send(address, message_kind::kPermitAsk, EncodeBinary(ask));
-  auto answer =
-      questions_.Await(ask.id, sent ? kAnswerTimeout : milliseconds{0});
-  if (!answer) {
+      transport_.Send(address, message_kind::kPermitAsk, EncodeBinary(request));
+  auto response =
+      pending_.Await(request.id, sent ? kResponseTimeout : milliseconds{0});
+  if (!response) {
     metrics_.Count("permits_unanswered_total");
-    silent_.Pause(address, clock_.now() + kSilencePause);
+    unresponsive_.Pause(address, clock_.now() + kUnresponsivePause);
   }
-  return answer;
+  return response;
 }
 
 permit_decision team_limiter::TakeLocally(const std::string& team,
@@ -197,17 +202,17 @@
                                           const team_limit& limit) {
   const auto now = clock_.now();
   const auto shares = Shares();
-  bool borrow = false;
+  bool should_borrow = false;
   const auto decision = teams_.With(team, [&](auto& teams) {
     auto& permits = teams[team].permits;
     const auto taken = permits.Take(role, limit, shares, now);
-    borrow =
+    should_borrow =
         role == permit_role::kOwner && permits.ShouldBorrow(limit, shares, now);
     return taken;
   });
   metrics_.Count("team_permits_total", OutcomeLabel(role, decision.granted));
-  if (borrow)
-    Borrow(team);
+  if (should_borrow)
+    RequestLoans(team);
   return decision;
 }
 
@@ -245,18 +250,18 @@
   });
 }
 
-void team_limiter::Borrow(const std::string& team) {
+void team_limiter::RequestLoans(const std::string& team) {
   const auto entries = state_.entries().Get();
   for (const auto& [region, contacts] : entries->other_regions) {
-    const auto address = BorrowAddress(region, contacts, team);
+    const auto address = LoanRequestAddress(region, contacts, team);
     if (!address.empty())
-      Send(address, message_kind::kPermitBorrow, permit_borrow{team});
+      Send(address, message_kind::kPermitBorrow, permit_loan_request{team});
   }
 }
 
 // Removes the cached address, since its entry may be gone. The next loan caches
 // it again.
-std::string team_limiter::BorrowAddress(
+std::string team_limiter::LoanRequestAddress(
     const std::string& region,
     const std::vector<std::string>& contacts,
     const std::string& team) {
@@ -268,32 +273,33 @@
                           : contacts[next_contact_++ % contacts.size()];
 }
 
-void team_limiter::OnAsk(const peer_message& message) {
-  const auto ask = Decode<permit_ask>(message);
-  if (!ask)
+void team_limiter::OnRequest(const peer_message& message) {
+  const auto request = Decode<permit_request>(message);
+  if (!request)
     return;
-  permit_answer answer{.id = ask->id};
+  permit_response response{.id = request->id};
   const auto manifest = state_.manifest();
-  if (const auto* team = FindTeam(manifest.get(), ask->team)) {
+  if (const auto* team = FindTeam(manifest.get(), request->team)) {
     const auto decision =
         team->limit.IsSet()
-            ? TakeLocally(ask->team, OwnRole(ask->team), team->limit)
+            ? TakeLocally(request->team, OwnRole(request->team), team->limit)
             : permit_decision{.granted = true};
-    answer.verdict =
+    response.verdict =
         decision.granted ? permit_verdict::kGranted : permit_verdict::kRefused;
-    answer.retry_after_ms =
+    response.retry_after_ms =
         static_cast<std::uint32_t>(decision.retry_after.count());
   }
-  Send(message.from, message_kind::kPermitAnswer, answer);
+  Send(message.from, message_kind::kPermitAnswer, response);
 }
 
-void team_limiter::OnAnswer(const peer_message& message) {
-  const auto answer = Decode<permit_answer>(message);
-  if (!answer)
+void team_limiter::OnResponse(const peer_message& message) {
+  const auto response = Decode<permit_response>(message);
+  if (!response)
     return;
-  const auto late_team = questions_.Deliver(answer->id, *answer);
-  if (late_team && answer->verdict == permit_verdict::kGranted)
-    Send(message.from, message_kind::kPermitReturn, permit_return{*late_team});
+  const auto timed_out_team = pending_.Deliver(response->id, *response);
+  if (timed_out_team && response->verdict == permit_verdict::kGranted)
+    Send(message.from, message_kind::kPermitReturn,
+         permit_return{*timed_out_team});
 }
 
 void team_limiter::OnReturn(const peer_message& message) {
@@ -301,22 +307,24 @@
     ReturnLocally(returned->team, OwnRole(returned->team));
 }
 
-void team_limiter::OnBorrow(const peer_message& message) {
-  const auto borrow = Decode<permit_borrow>(message);
+void team_limiter::OnLoanRequest(const peer_message& message) {
+  const auto loan_request = Decode<permit_loan_request>(message);
   const auto manifest = state_.manifest();
-  const auto* team = borrow ? FindTeam(manifest.get(), borrow->team) : nullptr;
+  const auto* team =
+      loan_request ? FindTeam(manifest.get(), loan_request->team) : nullptr;
   if (team == nullptr)
     return;
-  permit_loan loan{.team = borrow->team, .region = settings_.place.region};
+  permit_loan loan{.team = loan_request->team,
+                   .region = settings_.place.region};
   const auto entries = state_.entries().Get();
-  const auto owner = ChooseGrantors(borrow->team, entries->names).owner;
+  const auto owner = ChooseGrantors(loan_request->team, entries->names).owner;
   if (!owner)
     return;
   if (IsSelf(*entries, owner)) {
     const auto shares = Shares();
-    loan.permits = teams_.With(borrow->team, [&](auto& teams) {
-      return teams[borrow->team].permits.Lend(team->limit, shares,
-                                              clock_.now());
+    loan.permits = teams_.With(loan_request->team, [&](auto& teams) {
+      return teams[loan_request->team].permits.Lend(team->limit, shares,
+                                                    clock_.now());
     });
   } else {
     loan.owner_address = entries->peer_addresses[*owner];
@@ -369,7 +377,7 @@
           .fleet_peak = entries->fleet_peak,
           .reserve = kReserveOfSlack * bounds->limit_slack /
                      static_cast<double>(bounds->regions),
-          .settled = entries->fleet_sharers > 0,
+          .settled = entries->settled_fleet_size > 0,
           .unchanged_since = entries->unchanged_since};
 }
 
--- a/src/libsamphire/traffic/team_limiter.h
+++ b/src/libsamphire/traffic/team_limiter.h
@@ -25,11 +25,13 @@
 
 namespace samphire {
 
-// Enforces team limits across entries. Requests permits from the entry that
-// grants them in this region, and grants permits of the teams that this entry
-// owns. Thread-safe.
+// Enforces team limits, in requests per second, across all entries. Requests
+// permits from the entry that grants them in this region, and grants permits of
+// the teams that this entry owns. Thread-safe; messages of peers are handled on
+// the transport's receiving thread.
 class team_limiter {
  public:
+  // Request ids count up from `first_id`.
   team_limiter(peer_transport& transport,
                const traffic_settings& settings,
                const traffic_state& state,
@@ -40,10 +42,12 @@
   team_limiter(const team_limiter&) = delete;
   team_limiter& operator=(const team_limiter&) = delete;
 
-  // Decides whether one more request of the team may run. Blocks until the
-  // asked entry answers or the timeout expires.
+  // Decides whether one more run of a request of the team is allowed. Blocks
+  // until the queried entry responds, for up to 100 ms per entry. Always grants
+  // if the team is unknown or has no limit.
   team_permit Take(const std::string& team);
-  // Returns a granted permit that no run has used.
+  // Returns a granted permit that no run has used, so that another request can
+  // use it.
   void ReturnPermit(const std::string& team, const team_permit& permit);
   // Must be called when the entries of the region have changed.
   void OnEntriesChanged();
@@ -51,44 +55,51 @@
  private:
   struct team_state {
     team_permits permits;
-    // The last refusal by another entry, and when it arrived.
+    // The last refusal by another entry, and the time of its arrival.
     team_permit refusal;
     std::optional<time_point> refused_at;
   };
   using team_map = std::map<std::string, team_state>;
 
-  void OnAsk(const peer_message& message);
-  void OnAnswer(const peer_message& message);
+  void OnRequest(const peer_message& message);
+  void OnResponse(const peer_message& message);
   void OnReturn(const peer_message& message);
-  void OnBorrow(const peer_message& message);
+  void OnLoanRequest(const peer_message& message);
   void OnLoan(const peer_message& message);
 
-  // Takes a permit from the region's owner or deputy. Returns nothing if
-  // neither answers.
+  // Takes a permit from the region's owner or backup owner. Returns nothing if
+  // neither responds.
   std::optional<team_permit> TakeFromGrantor(const std::string& team,
                                              const team_limit& limit);
   // Whether this entry knows no other entries although the fleet has some.
+  // Isolated entries must not grant permits as the owner.
   bool IsIsolated(const entry_list& entries) const;
   // Applies the startup allowance. Returns nothing if the request may proceed
   // or the startup time is over.
   std::optional<team_permit> StartupRefusal(const traffic_manifest& manifest,
                                             const traffic_team& team);
+  // Returns the cached refusal of the team if it is still valid.
   std::optional<team_permit> RecentRefusal(const std::string& team);
   // Whether another entry refused the team a permit in the last few seconds.
   bool WasRefusedRecently(const std::string& team);
   void NoteRefusal(const std::string& team, const team_permit& refusal);
-  std::optional<permit_answer> Ask(const std::string& address,
-                                   const std::string& team);
+  // Requests a permit from the entry at `address`. Returns nothing if it does
+  // not respond, or did not do so recently.
+  std::optional<permit_response> RequestPermit(const std::string& address,
+                                               const std::string& team);
+  // Takes a permit from this entry's own share for `role`, and requests loans
+  // from other regions if the owner's share runs short.
   permit_decision TakeLocally(const std::string& team,
                               permit_role role,
                               const team_limit& limit);
   void ReturnLocally(const std::string& team, permit_role role);
-  void Borrow(const std::string& team);
+  // Requests loans of permits from the owners in all other regions.
+  void RequestLoans(const std::string& team);
   // Returns the cached address of the owner in another region, or else of any
-  // entry there, which answers with the owner's address.
-  std::string BorrowAddress(const std::string& region,
-                            const std::vector<std::string>& contacts,
-                            const std::string& team);
+  // entry there, which responds with the owner's address.
+  std::string LoanRequestAddress(const std::string& region,
+                                 const std::vector<std::string>& contacts,
+                                 const std::string& team);
   // Whether the entry at `index` of the list is this one.
   bool IsSelf(const entry_list& entries,
               const std::optional<std::size_t>& index) const;
@@ -110,10 +121,12 @@
   const clock_source& clock_;
   metrics& metrics_;
   std::atomic<std::uint64_t> next_id_;
-  pause_list silent_;
-  answer_waiter<permit_answer, std::string> questions_;
+  pause_list unresponsive_;
+  answer_waiter<permit_response, std::string> pending_;
   sharded<team_map> teams_;
+  // When this entry started.
   const time_point started_;
+  // Guards the members below.
   std::mutex lock_;
   startup_allowance startup_;
   // Peer addresses of owners in other regions, by team and region.
--- a/src/libsamphire/traffic/team_permit.h
+++ b/src/libsamphire/traffic/team_permit.h
@@ -8,9 +8,11 @@
 
 namespace samphire {
 
-// The decision on one run of a team's request, and the entry that made it.
+// The decision whether one run of a team's request is allowed, and the entry
+// that made it.
 struct team_permit {
   permit_decision decision;
+  // The role in which that entry decided.
   permit_role role = permit_role::kOwner;
   // Peer address of the entry that decided; empty for this entry.
   std::string grantor_address;
--- a/src/libsamphire/traffic/traffic_context.h
+++ b/src/libsamphire/traffic/traffic_context.h
@@ -4,7 +4,7 @@
 #include "base/clock_source.h"
 #include "metrics/metrics.h"
 #include "proxy/connection_pool.h"
-#include "traffic/placing_client.h"
+#include "traffic/placement_client.h"
 #include "traffic/service_shards.h"
 #include "traffic/team_limiter.h"
 #include "traffic/traffic_headers.h"
@@ -13,14 +13,17 @@
 
 namespace samphire {
 
-// What every request of one entry needs.
+// The services of one entry that its request threads share. All of them are
+// thread-safe and outlive every request.
 struct traffic_context {
   const traffic_settings& settings;
   const traffic_headers& headers;
   traffic_state& state;
   service_shards& shards;
-  placing_client& placings;
+  // Requests placements from the owners of keys.
+  placement_client& remote_placement;
   team_limiter& limiter;
+  // Connections to targets and peers.
   connection_pool& pool;
   const clock_source& clock;
   samphire::metrics& counters;
--- a/src/libsamphire/traffic/traffic_dispatcher.cc
+++ b/src/libsamphire/traffic/traffic_dispatcher.cc
@@ -11,11 +11,15 @@
 
 namespace {
 
-// Attempts that reached no target at all cost a target nothing, but each takes
-// time; after some the caller is better told.
-constexpr std::uint32_t kMaxSends = 5;
-// An attempt that is left less time than this would only be cut off.
-constexpr milliseconds kLeastAttempt{20};
+// Upper bound on all attempts of a request, whereas a route's own bound counts
+// only those whose target may have run it. Attempts that reach no target put no
+// load on targets, but each takes time, and after some of them the caller is
+// better served by a failure.
+constexpr std::uint32_t kMaxAttempts = 5;
+// Minimum time until the deadline for a further attempt, which would otherwise
+// only time out.
+constexpr milliseconds kMinAttemptTime{20};
+// Retry time given to callers whose last attempt failed.
 constexpr milliseconds kFailureRetryAfter{100};
 
 // Whether the HTTP status for `code` tells callers that the request did not
@@ -51,13 +55,13 @@
 }
 
 void traffic_dispatcher::Run() {
-  while (Attempt()) {
+  while (MakeAttempt()) {
   }
   if (permit_)
     context_.limiter.ReturnPermit(request_.team->name, *permit_);
 }
 
-bool traffic_dispatcher::Attempt() {
+bool traffic_dispatcher::MakeAttempt() {
   if (!IsApiKeyValid()) {
     FinishWithoutAttempt(result_code::kUnknownApiKey, milliseconds{0});
     return false;
@@ -65,27 +69,27 @@
   if (!TakePermit())
     return false;
   auto placed = placer_.Place();
-  if (const auto* refusal = std::get_if<placing_refusal>(&placed.place)) {
-    LogNoPlace(*refusal, placed.owner);
+  if (const auto* refusal = std::get_if<placing_refusal>(&placed.decision)) {
+    LogNoPlacement(*refusal, placed.owner);
     FinishWithoutAttempt(refusal->reason, refusal->retry_after);
     return false;
   }
-  const auto& target = std::get<placed_attempt>(placed.place).target;
+  const auto& target = std::get<placed_attempt>(placed.decision).target;
   ++attempts_;
   last_target_ = target.id;
   auto end = target_exchange(context_, request_, caller_, sink_).Run(target);
-  Report(placed, end);
+  ReportAttemptEnd(placed, end);
   if (end.may_have_run) {
     may_have_run_ = true;
     ++runs_;
     permit_.reset();
   }
-  if (!MayTryAgain(end)) {
+  if (!MayRetry(end)) {
     Finish(std::move(end));
     return false;
   }
-  if (end.answer)
-    failure_ = std::move(end.answer);
+  if (end.response)
+    failure_ = std::move(end.response);
   placer_.Exclude(target.id);
   context_.counters.CountRetry(end.reason);
   return true;
@@ -101,7 +105,7 @@
     permit_ = permit;
     return true;
   }
-  LogNoPermit(permit);
+  LogPermitRefusal(permit);
   FinishWithoutAttempt(result_code::kTeamLimitReached,
                        permit.decision.retry_after);
   return false;
@@ -118,9 +122,9 @@
   return team != nullptr && team->name == request_.team->name;
 }
 
-void traffic_dispatcher::Report(const placed_request& placed,
-                                const target_exchange_end& end) {
-  const auto pause = placer_.Ended(placed, end.attempt);
+void traffic_dispatcher::ReportAttemptEnd(const placed_request& placed,
+                                          const target_exchange_end& end) {
+  const auto pause = placer_.OnAttemptEnd(placed, end.attempt);
   LogAttempt(placed, end);
   if (pause > milliseconds{0}) {
     Log(log_level::kWarning, "target-ejected",
@@ -131,37 +135,39 @@
   }
 }
 
-// What may not be repeated is tried again only after a target's word, or a
-// connection that was never made, proves that it did not run. All else draws
-// on the budget that all entries share, unless no target was reached.
-bool traffic_dispatcher::MayTryAgain(const target_exchange_end& end) {
-  if (end.streamed || end.body_spent ||
+// A request that must not be repeated is retried only if a statement of the
+// target or a failure to connect proves that it did not run. Retries are
+// limited by a budget that all entries share, except those after a failure to
+// connect.
+bool traffic_dispatcher::MayRetry(const target_exchange_end& end) {
+  if (end.streamed || end.body_consumed ||
       end.reason == result_code::kCallerGone ||
       end.reason == result_code::kDeadlineExceeded)
     return false;
-  if (end.answer && end.attempt.result != attempt_result::kTargetError)
+  if (end.response && end.attempt.result != attempt_result::kTargetError)
     return false;
   if (may_have_run_ && !request_.route->idempotent)
     return false;
   const auto now = context_.clock.now();
-  if (attempts_ >= kMaxSends || runs_ >= request_.route->max_attempts ||
-      request_.deadline - now < kLeastAttempt || caller_.IsGone())
+  if (attempts_ >= kMaxAttempts || runs_ >= request_.route->max_attempts ||
+      request_.deadline - now < kMinAttemptTime || caller_.IsGone())
     return false;
   if (end.attempt.result == attempt_result::kConnectFailed)
     return true;
   const auto entries = context_.state.entries().Get();
   const auto bounds = context_.state.bounds();
   return context_.shards.WithService(placer_.service(), [&](auto& shard) {
-    return shard.retries.TryTake(bounds->retries, entries->fleet_sharers, now);
+    return shard.retries.TryTake(bounds->retries, entries->settled_fleet_size,
+                                 now);
   });
 }
 
-// Ends the request without a further attempt: forwards the failure answer of an
+// Ends the request without a further attempt: forwards the error response of an
 // earlier attempt if there is one, and refuses the request otherwise.
 void traffic_dispatcher::FinishWithoutAttempt(result_code code,
                                               milliseconds retry_after) {
   if (failure_)
-    Finish({.answer = std::move(failure_)});
+    Finish({.response = std::move(failure_)});
   else
     Refuse(code, retry_after);
 }
@@ -173,17 +179,18 @@
       sink_.Abort();
     return;
   }
-  if (!end.answer && failure_)
-    end.answer = std::move(failure_);
-  if (end.answer) {
-    LogOutcome(result_code::kOk, end.answer->head.getStatus());
-    SendHeld(sink_, *end.answer, answer_note{});
+  if (!end.response && failure_)
+    end.response = std::move(failure_);
+  if (end.response) {
+    LogOutcome(result_code::kOk, end.response->head.getStatus());
+    SendHeld(sink_, *end.response, answer_note{});
     return;
   }
   Refuse(end.reason, kFailureRetryAfter);
 }
 
-// A status that promises "not run" is given only when no attempt can have run.
+// A status that states that the request did not run is sent only if no attempt
+// can have run it.
 void traffic_dispatcher::Refuse(result_code code, milliseconds retry_after) {
   if (may_have_run_ && code == result_code::kRequestTooSlow)
     code = result_code::kDeadlineExceeded;
@@ -202,11 +209,11 @@
 
 void traffic_dispatcher::LogAttempt(const placed_request& placed,
                                     const target_exchange_end& end) const {
-  const auto& attempt = std::get<placed_attempt>(placed.place);
-  const bool plain = end.attempt.result == attempt_result::kAnswered &&
-                     end.attempt.took <= placer_.wish().objective;
+  const auto& attempt = std::get<placed_attempt>(placed.decision);
+  const bool met_objective = end.attempt.result == attempt_result::kAnswered &&
+                             end.attempt.took <= placer_.criteria().objective;
   constexpr milliseconds kNoReport{-1};
-  Log(plain ? log_level::kDebug : log_level::kInfo, "attempt",
+  Log(met_objective ? log_level::kDebug : log_level::kInfo, "attempt",
       {{"request", request_.id},
        {"target", attempt.target.id},
        {"failure_domain", attempt.target.failure_domain},
@@ -242,7 +249,7 @@
        {"ms", took.count()}});
 }
 
-void traffic_dispatcher::LogNoPermit(const team_permit& permit) const {
+void traffic_dispatcher::LogPermitRefusal(const team_permit& permit) const {
   Log(log_level::kInfo, "no-permit",
       {{"request", request_.id},
        {"team", request_.team->name},
@@ -252,8 +259,8 @@
        {"retry_after_ms", permit.decision.retry_after.count()}});
 }
 
-void traffic_dispatcher::LogNoPlace(const placing_refusal& refusal,
-                                    const std::string& owner) const {
+void traffic_dispatcher::LogNoPlacement(const placing_refusal& refusal,
+                                        const std::string& owner) const {
   const auto targets = context_.state.targets();
   Log(log_level::kInfo, "no-place",
       {{"request", request_.id},
@@ -263,7 +270,7 @@
        {"targets", targets->OfService(placer_.service()).size()},
        {"candidates", refusal.candidates},
        {"wait_ms", refusal.wait.count()},
-       {"time_left_ms", placer_.wish().time_left.count()},
+       {"time_left_ms", placer_.criteria().time_left.count()},
        {"retry_after_ms", refusal.retry_after.count()}});
 }
 
--- a/src/libsamphire/traffic/traffic_dispatcher.h
+++ b/src/libsamphire/traffic/traffic_dispatcher.h
@@ -16,7 +16,9 @@
 
 namespace samphire {
 
-// Brings one request through its attempts to its final answer.
+// Makes the attempts of one request and sends the final response to its caller.
+// Created for each request and used by the thread that handles it. `context`,
+// `request`, `caller` and `sink` must outlive the dispatcher.
 class traffic_dispatcher {
  public:
   traffic_dispatcher(traffic_context& context,
@@ -24,30 +26,38 @@
                      const caller_watch& caller,
                      answer_sink& sink);
 
+  // Blocks until the request is finished.
   void Run();
 
  private:
-  // The service among which the request's route is divided that gets it.
+  // Chooses one of the services among which the request's route is split by
+  // weight.
   std::string ChooseService() const;
   // Makes one attempt. Returns whether to make another one.
-  bool Attempt();
+  bool MakeAttempt();
   // Takes a permit if the team has a limit and none is held. Finishes the
   // request and returns false if it is refused.
   bool TakePermit();
   // Whether the API key still belongs to the same team in the current manifest.
   bool IsApiKeyValid() const;
-  void Report(const placed_request& placed, const target_exchange_end& end);
-  // Whether another target may be tried after `end`.
-  bool MayTryAgain(const target_exchange_end& end);
+  // Reports the end of an attempt to the entry that placed it and logs it.
+  void ReportAttemptEnd(const placed_request& placed,
+                        const target_exchange_end& end);
+  // Returns whether another target may be tried after `end`, and takes a retry
+  // from the shared budget if needed.
+  bool MayRetry(const target_exchange_end& end);
   void FinishWithoutAttempt(result_code code, milliseconds retry_after);
+  // Sends the final response: that of `end`, that of an earlier attempt or a
+  // refusal.
   void Finish(target_exchange_end end);
   void Refuse(result_code code, milliseconds retry_after);
   void LogAttempt(const placed_request& placed,
                   const target_exchange_end& end) const;
   void LogOutcome(result_code code, int status) const;
-  void LogNoPermit(const team_permit& permit) const;
-  void LogNoPlace(const placing_refusal& refusal,
-                  const std::string& owner) const;
+  void LogPermitRefusal(const team_permit& permit) const;
+  // `owner` is the entry that refused the placement; empty for this entry.
+  void LogNoPlacement(const placing_refusal& refusal,
+                      const std::string& owner) const;
 
   traffic_context& context_;
   const traffic_request& request_;
@@ -57,11 +67,13 @@
   // A granted permit that no run has used yet.
   std::optional<team_permit> permit_;
   std::uint32_t attempts_ = 0;
+  // Id of the target of the last attempt.
   std::string last_target_;
-  // Targets that may have run the request.
+  // Number of attempts whose targets may have run the request.
   std::uint32_t runs_ = 0;
   bool may_have_run_ = false;
-  // A target's own failure, for the case that no other attempt does better.
+  // The last error response of a target, which is forwarded if no other attempt
+  // succeeds.
   std::optional<held_answer> failure_;
 };
 
--- a/src/libsamphire/traffic/traffic_handler.cc
+++ b/src/libsamphire/traffic/traffic_handler.cc
@@ -12,24 +12,26 @@
 
 namespace {
 
-// An entry without a configuration has asked for it; it comes soon or another
-// entry is the better choice.
+// Retry time given to callers whose request is refused before any attempt. An
+// entry without a configuration has already requested one: either it arrives
+// within this time, or callers should use another entry.
 constexpr milliseconds kRetryAfter{300};
 
 }  // namespace
 
 void traffic_handler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                     Poco::Net::HTTPServerResponse& response) {
-  auto& whole = static_cast<front_request&>(request);
+  auto& incoming = static_cast<front_request&>(request);
   caller_answer sink(request, response, note_headers::kOnRefusals);
-  const auto read = ReadTrafficRequest(whole, context_);
+  const auto read = ReadTrafficRequest(incoming, context_);
   if (!read) {
-    if (!whole.IsConsumed())
+    if (!incoming.IsConsumed())
       response.setKeepAlive(false);
-    Refuse(sink, whole.get(context_.headers.request_id, ""), read.error());
+    Refuse(sink, incoming.get(context_.headers.request_id, ""), read.error());
     return;
   }
-  // If it is refused, the rest of its body stays unread on the connection.
+  // If the request is refused, the rest of its body remains unread, and the
+  // connection can't be reused.
   if (read.value().body_rest != nullptr)
     response.setKeepAlive(false);
   const caller_watch caller(sink.socket());
--- a/src/libsamphire/traffic/traffic_handler.h
+++ b/src/libsamphire/traffic/traffic_handler.h
@@ -13,15 +13,20 @@
 
 namespace samphire {
 
-// Answers one caller's request by its host and path.
+// Handles one caller's request, which is routed by its host and path. The
+// server creates a handler for each request and calls it on the connection's
+// thread.
 class traffic_handler final : public Poco::Net::HTTPRequestHandler {
  public:
   explicit traffic_handler(traffic_context& context) : context_(context) {}
 
+  // Blocks until the response was sent or the caller disconnected.
   void handleRequest(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response) override;
 
  private:
+  // Refuses a request that could not be read or routed. `id` is the request's
+  // id.
   void Refuse(answer_sink& sink, const std::string& id, const error& why) const;
 
   traffic_context& context_;
--- a/src/libsamphire/traffic/traffic_headers.h
+++ b/src/libsamphire/traffic/traffic_headers.h
@@ -5,26 +5,28 @@
 
 namespace samphire {
 
-// What the headers between callers, entries and targets are called where this
-// entry runs.
+// Names of the HTTP headers between callers, entries and targets, as the
+// platform on which this entry runs defines them.
 struct traffic_headers {
-  // One caller attempt's id, which targets echo.
+  // Id of one attempt of a caller, which targets echo in the response.
   std::string request_id;
-  // Milliseconds that the sender waits.
+  // Time in milliseconds for which the sender waits for the response.
   std::string deadline;
-  // What a target may have in memory.
+  // The key of the data that the request uses. Requests with the same key go to
+  // the same targets, which may have the data in memory.
   std::string affinity_key;
   // The API key of the caller's team; never forwarded to targets.
   std::string api_key;
   // The name of the caller's team, set on requests to targets.
   std::string team;
-  // The id of the target that alone may run the request.
+  // Id of the only target that may run the request, so that a process which
+  // took over the address rejects it.
   std::string expected_target;
-  // On every answer that a target made by running the request.
+  // Set on every response that a target produced by running the request.
   std::string target_stamp;
-  // RUNNING,WAITING,SLOTS of the answering target.
+  // Load of the responding target, as RUNNING,WAITING,SLOTS.
   std::string target_load;
-  // The target did not run the request and never will.
+  // Set if the target did not run the request and never will.
   std::string not_run;
 };
 
--- a/src/libsamphire/traffic/traffic_node.cc
+++ b/src/libsamphire/traffic/traffic_node.cc
@@ -18,23 +18,29 @@
 
 namespace {
 
-constexpr milliseconds kDrainCheck{20};
-// After the request to stop, connections that callers hold are served for
-// their look-ups' lifetime and the second in which news of it spreads.
-constexpr milliseconds kNewsTime{1200};
-// Kept for the last answers, out of the time until the process is killed.
+// Interval at which Drain() checks whether requests or connections remain.
+constexpr milliseconds kDrainPollInterval{20};
+// Time in which gossip tells the region that this entry leaves, about a second.
+// After the request to stop, connections of callers are served for this time
+// and the lifetime of their look-ups.
+constexpr milliseconds kLeavingPropagationTime{1200};
+// Part of the time until the process is killed that is reserved for sending the
+// last responses.
 constexpr milliseconds kStopMargin{500};
-// Three watches for each entry of a region of eighty.
+// Upper bound on connections of peers: three watches for each entry of a region
+// of eighty.
 constexpr std::uint32_t kPeerConnections = 256;
-// Metrics are read by a few collectors.
+// Upper bound on connections of metrics collectors, of which there are few.
 constexpr std::uint32_t kMetricsConnections = 16;
-// Callers may use an idle connection up to the declared time; one that is
-// closed later than that never crosses a request.
+// Added to the declared idle timeout before an idle connection is closed.
+// Callers may send a request on it until the declared time; closing it later
+// avoids closing it while a request is on its way.
 constexpr milliseconds kIdleMargin{2000};
 
-// A dead entry must be out of look-ups within about six seconds: a probe each
-// second finds it, and this is how long it may speak up.
-constexpr milliseconds kSuspicion{2500};
+// Time for which a suspected entry may refute the suspicion before it is
+// declared failed. A failed entry must be removed from look-ups within about
+// six seconds, which include the probe interval of one second.
+constexpr milliseconds kSuspicionTimeout{2500};
 
 member SelfMember(const traffic_settings& settings, std::uint64_t incarnation) {
   member self;
@@ -47,9 +53,9 @@
   return self;
 }
 
-membership_options Pace() {
+membership_options MembershipOptions() {
   membership_options options;
-  options.suspicion = kSuspicion;
+  options.suspicion = kSuspicionTimeout;
   return options;
 }
 
@@ -61,7 +67,7 @@
     : settings_(std::move(settings)),
       headers_(std::move(headers)),
       incarnation_(NewIncarnation()),
-      shards_(settings_.without),
+      shards_(settings_.disabled_mechanisms),
       transport_(settings_.peer_address,
                  settings_.place.instance,
                  incarnation_,
@@ -69,7 +75,7 @@
                  clock_,
                  metrics_),
       membership_(SelfMember(settings_, incarnation_),
-                  Pace(),
+                  MembershipOptions(),
                   transport_,
                   clock_,
                   metrics_,
@@ -78,15 +84,15 @@
               {settings_.place.instance, incarnation_},
               clock_),
       relay_(clock_),
-      list_builder_(settings_.place.instance,
-                    settings_.settle_time,
-                    settings_.least_fleet,
-                    clock_.now()),
-      placings_(transport_, clock_, metrics_, incarnation_),
+      entry_list_builder_(settings_.place.instance,
+                          settings_.settle_time,
+                          settings_.min_fleet_size,
+                          clock_.now()),
+      placement_client_(transport_, clock_, metrics_, incarnation_),
       limiter_(transport_, settings_, state_, clock_, metrics_, incarnation_),
-      context_{settings_, headers_, state_, shards_, placings_,
+      context_{settings_, headers_, state_, shards_, placement_client_,
                limiter_,  pool_,    clock_, metrics_},
-      placing_server_(transport_, context_),
+      placement_server_(transport_, context_),
       caller_front_(
           settings_.caller_address,
           new handler_factory([this](const Poco::Net::HTTPServerRequest&) {
@@ -98,7 +104,7 @@
           settings_.metrics_address,
           new handler_factory([this](const Poco::Net::HTTPServerRequest&) {
             return new text_handler("text/plain; version=0.0.4",
-                                    [this] { return CountersText(); });
+                                    [this] { return MetricsText(); });
           }),
           {.max_connections = kMetricsConnections},
           metrics_),
@@ -112,7 +118,7 @@
           metrics_) {
   state_.SetBounds(settings_.bounds);
   membership_.on_member_changed = [this](const member& /*changed*/) {
-    FollowMembers();
+    RefreshEntryList();
   };
 }
 
@@ -121,7 +127,7 @@
 }
 
 void traffic_node::Start() {
-  FollowMembers();
+  RefreshEntryList();
   membership_.AddSeeds(settings_.seeds);
   transport_.Start();
   membership_.Start();
@@ -154,7 +160,7 @@
       {{"version", manifest->version()},
        {"version_before", before ? before->version() : 0},
        {"routes", manifest->route_count()}});
-  TellPeers();
+  AnnounceReady();
 }
 
 void traffic_node::SetTargets(std::vector<live_target> targets) {
@@ -162,7 +168,7 @@
   state_.SetTargets(std::move(targets));
   LogTargets();
   if (first)
-    TellPeers();
+    AnnounceReady();
 }
 
 void traffic_node::SetEvacuatedDomains(std::set<std::string> domains) {
@@ -170,14 +176,14 @@
   LogTargets();
 }
 
-void traffic_node::TellPeers() {
+void traffic_node::AnnounceReady() {
   const auto manifest = state_.manifest();
   if (!manifest || !state_.targets())
     return;
   member_digest digest;
   digest.config_version = manifest->version();
   membership_.SetSelf(std::move(digest), 0);
-  FollowMembers();
+  RefreshEntryList();
 }
 
 void traffic_node::LogTargets() const {
@@ -194,63 +200,65 @@
   return state_.entries().Get()->caller_addresses;
 }
 
-void traffic_node::FollowMembers() {
-  std::lock_guard guard(list_lock_);
+void traffic_node::RefreshEntryList() {
+  std::lock_guard guard(entry_list_lock_);
   const auto before = state_.entries().Get();
-  state_.entries().Replace(list_builder_.Build(membership_.members(),
-                                               membership_.regions(), IsReady(),
-                                               state_.leaving, clock_.now()));
+  state_.entries().Replace(
+      entry_list_builder_.Build(membership_.members(), membership_.regions(),
+                                IsReady(), state_.leaving, clock_.now()));
   if (state_.entries().Get()->names != before->names)
     limiter_.OnEntriesChanged();
 }
 
-std::unique_ptr<object_watcher> traffic_node::Share(object_watcher& platform) {
+std::unique_ptr<object_watcher> traffic_node::MakeSharedStore(
+    object_watcher& platform) {
   return std::make_unique<shared_store>(
-      platform, relay_, pool_, signer_, clock_, settings_.meeting_time,
-      [this] { return Sources(); }, [this] { return Peers(); });
+      platform, relay_, pool_, signer_, clock_, settings_.discovery_time,
+      [this] { return CurrentSourcePlan(); },
+      [this] { return BootstrapAddresses(); });
 }
 
-std::vector<std::string> traffic_node::Peers() const {
-  return state_.entries().Get()->helper_addresses;
+std::vector<std::string> traffic_node::BootstrapAddresses() const {
+  return state_.entries().Get()->bootstrap_addresses;
 }
 
-source_plan traffic_node::Sources() const {
+source_plan traffic_node::CurrentSourcePlan() const {
   return PlanSources(settings_.place, *state_.entries().Get());
 }
 
-std::string traffic_node::CountersText() {
+std::string traffic_node::MetricsText() {
   return metrics_.Render();
 }
 
-// Callers use their connections until the process is gone, so requests are
-// served for as long as their answers fit before the kill; those that come
-// later are told at once that they did not run.
+// Callers use their connections until the process ends, so requests are served
+// for as long as their responses can be sent before the kill. Later requests
+// are refused immediately, with the statement that they did not run.
 void traffic_node::Drain() {
-  const auto asked = clock_.now();
+  const auto requested_at = clock_.now();
   Log(log_level::kInfo, "leaving");
   state_.leaving = true;
-  FollowMembers();
+  RefreshEntryList();
   membership_.AnnounceLeaving();
   caller_front_.SetPhase(front_phase::kLeaving);
   const auto bounds = state_.bounds();
-  const auto last = asked + bounds->stop_grace - kStopMargin;
-  const auto serve_until =
-      std::min(asked + bounds->lookup_ttl + kNewsTime, last);
+  const auto deadline = requested_at + bounds->stop_grace - kStopMargin;
+  const auto serve_until = std::min(
+      requested_at + bounds->lookup_ttl + kLeavingPropagationTime, deadline);
   std::this_thread::sleep_until(serve_until);
   caller_front_.SetPhase(front_phase::kTurningAway);
-  while (caller_front_.active() > 0 && clock_.now() < last)
-    std::this_thread::sleep_for(kDrainCheck);
+  while (caller_front_.active() > 0 && clock_.now() < deadline)
+    std::this_thread::sleep_for(kDrainPollInterval);
   const int cut = caller_front_.active();
   Log(cut > 0 ? log_level::kWarning : log_level::kInfo, "drained",
       {{"requests_cut", cut},
        {"seconds",
-        std::chrono::duration<double>(clock_.now() - asked).count()}});
+        std::chrono::duration<double>(clock_.now() - requested_at).count()}});
   caller_front_.Close();
-  // Connections that were taken in but not read yet are being turned away; the
-  // end of the process would reset them, and their callers could not tell
-  // whether they ran.
-  while (caller_front_.connections() > 0 && clock_.now() < last)
-    std::this_thread::sleep_for(kDrainCheck);
+  // Requests on connections that were accepted but not read yet are being
+  // refused. The end of the process would reset these connections, and their
+  // callers could not tell whether the requests ran.
+  while (caller_front_.connections() > 0 && clock_.now() < deadline)
+    std::this_thread::sleep_for(kDrainPollInterval);
 }
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/traffic_node.h
+++ b/src/libsamphire/traffic/traffic_node.h
@@ -19,8 +19,8 @@
 #include "store/object_relay.h"
 #include "store/object_watcher.h"
 #include "traffic/entry_list_builder.h"
-#include "traffic/placing_client.h"
-#include "traffic/placing_server.h"
+#include "traffic/placement_client.h"
+#include "traffic/placement_server.h"
 #include "traffic/service_shards.h"
 #include "traffic/source_plan.h"
 #include "traffic/team_limiter.h"
@@ -31,8 +31,10 @@
 
 namespace samphire {
 
-// One entry that serves hosts and paths, wired together. What it serves, and
-// where, it is told by whoever follows the configuration.
+// One entry that serves requests by host and path: owns and connects all of its
+// components. The manifest, the targets and the bounds are set from outside, by
+// the code that follows the platform's objects. Thread-safe once started,
+// except for Start() and Drain(), which are called once each.
 class traffic_node {
  public:
   traffic_node(traffic_settings settings,
@@ -40,42 +42,52 @@
                peer_keys keys);
   ~traffic_node();
 
+  // Opens the ports and joins the fleet.
   void Start();
-  // Looks at the fleet anew; called about once a second.
-  void Tick() { FollowMembers(); }
-  // A planned stop: not ready at once, serves on while callers learn of it,
-  // then finishes what runs. Blocks until done.
+  // Updates the list of entries from membership. Must be called about once a
+  // second.
+  void Tick() { RefreshEntryList(); }
+  // Performs a planned stop: reports itself as not ready, keeps serving
+  // until callers know about it, then completes the requests in progress.
+  // Blocks until done, at most for `traffic_bounds::stop_grace`.
   void Drain();
 
-  // From the moment of the call, without a restart.
+  // The setters take effect immediately, without a restart.
   void SetBounds(const traffic_bounds& bounds);
   void AddSeeds(const std::vector<std::string>& seeds);
+  // Ignored unless the manifest's version is above the current one.
   void SetManifest(const manifest_ptr& manifest);
   void SetTargets(std::vector<live_target> targets);
   void SetEvacuatedDomains(std::set<std::string> domains);
 
-  // The platform's store as this fleet shares it. The node must outlive it.
-  std::unique_ptr<object_watcher> Share(object_watcher& platform);
+  // Returns a watcher of the platform's store that shares watches with the
+  // other entries of the fleet. `platform` and this node must outlive it.
+  std::unique_ptr<object_watcher> MakeSharedStore(object_watcher& platform);
 
+  // Whether this entry can serve callers.
   bool IsReady() const { return state_.IsReady(); }
-  // The live entries of this region that callers may use.
+  // Returns the addresses of the live entries of this region that callers may
+  // use.
   std::vector<std::string> CallerAddresses() const;
   milliseconds lookup_ttl() const { return state_.bounds()->lookup_ttl; }
   const clock_source& clock() const { return clock_; }
   metrics& counters() { return metrics_; }
 
  private:
-  void FollowMembers();
+  void RefreshEntryList();
   void LogTargets() const;
-  // That this entry has a configuration, so that callers may be sent here.
-  void TellPeers();
-  // Peer addresses of entries that may tell what they knew last.
-  std::vector<std::string> Peers() const;
-  source_plan Sources() const;
-  std::string CountersText();
+  // Announces to the other members that this entry has a configuration, so that
+  // callers may be sent here. Does nothing while manifest or targets are
+  // missing.
+  void AnnounceReady();
+  // Peer addresses of entries that may provide their last known objects.
+  std::vector<std::string> BootstrapAddresses() const;
+  source_plan CurrentSourcePlan() const;
+  std::string MetricsText();
 
   const traffic_settings settings_;
   const traffic_headers headers_;
+  // Distinguishes this process from earlier ones of the same instance.
   const std::uint64_t incarnation_;
   const system_clock_source clock_;
   metrics metrics_;
@@ -86,12 +98,13 @@
   membership_service membership_;
   peer_signer signer_;
   object_relay relay_;
-  std::mutex list_lock_;
-  entry_list_builder list_builder_;
-  placing_client placings_;
+  // Guards entry_list_builder_ and the order of published lists.
+  std::mutex entry_list_lock_;
+  entry_list_builder entry_list_builder_;
+  placement_client placement_client_;
   team_limiter limiter_;
   traffic_context context_;
-  placing_server placing_server_;
+  placement_server placement_server_;
   front_server caller_front_;
   front_server metrics_front_;
   front_server peer_front_;
--- a/src/libsamphire/traffic/traffic_request.h
+++ b/src/libsamphire/traffic/traffic_request.h
@@ -14,36 +14,42 @@
 
 namespace samphire {
 
-// One caller's request, understood.
+// One caller's request with its route, team and deadline. The body may be
+// incomplete, see `body_rest`.
 struct traffic_request {
-  // Keeps `route` alive.
+  // The configuration in force when the request arrived. Keeps `route` and
+  // `team` alive.
   manifest_ptr manifest;
   const traffic_route* route = nullptr;
   // Null if the route or the manifest requires no API key.
   const traffic_team* team = nullptr;
   std::string api_key;
-  // Regions whose targets may run the request; any if empty.
+  // Regions whose targets may run the request; any region if empty.
   std::vector<std::string> home_regions;
 
+  // The caller's id for the request; empty if it sent none.
   std::string id;
   std::string method;
-  // With its query.
+  // Includes the query.
   std::string path;
   Poco::Net::NameValueCollection headers;
   // The body, or the first part of a long one.
   std::string body;
-  // Where the rest of a long body comes from, else null. It comes once, so
-  // such a request can be sent once only.
+  // Source of the rest of a long body; null if `body` is complete. The rest can
+  // be read only once, so the request can't be sent again after that.
   body_source* body_rest = nullptr;
-  // Of the whole body, where the caller told it.
+  // Length of the whole body in bytes, if the caller declared it.
   std::optional<std::uint64_t> body_length;
-  // Of the whole body; where its length isn't told, of what came first.
+  // Returns the size of the whole body, or that of its first part if the length
+  // is not declared.
   std::uint64_t body_bytes() const { return body_length.value_or(body.size()); }
 
+  // Hash of the route and the affinity key, by which targets and owners of keys
+  // are chosen.
   std::uint64_t key_hash = 0;
   time_point arrived;
-  // The caller has its answer by then: its own time or the route's, whichever
-  // ends first.
+  // The time by which the response must be sent: the caller's timeout or the
+  // route's, whichever ends first.
   time_point deadline;
 };
 
--- a/src/libsamphire/traffic/traffic_request_reader.cc
+++ b/src/libsamphire/traffic/traffic_request_reader.cc
@@ -12,21 +12,26 @@
 
 namespace {
 
-// An answer that leaves at the caller's very last millisecond comes too late;
-// this is the way back and the time to write it.
-constexpr milliseconds kWayBack{10};
-constexpr std::size_t kHeldBytes = std::size_t{128} << 10U;
-constexpr std::size_t kPieceBytes = std::size_t{16} << 10U;
+// Subtracted from the caller's timeout: the time to write the response and for
+// it to reach the caller. A response sent in the last millisecond would be
+// late.
+constexpr milliseconds kResponseMargin{10};
+// Bodies up to this size are buffered whole; longer ones are streamed.
+constexpr std::size_t kMaxBufferedBytes = std::size_t{128} << 10U;
+// Upper bound on one read of a body.
+constexpr std::size_t kChunkBytes = std::size_t{16} << 10U;
 
-// A nonsense deadline is passed over: the route's own timeout bounds the wait.
-milliseconds CallerWaits(const front_request& request,
-                         const traffic_context& context) {
-  Poco::UInt64 told = 0;
+// Returns the timeout that the caller declares, at most one hour. A missing or
+// malformed value counts as one hour, as the route's own timeout applies
+// anyway.
+milliseconds CallerTimeout(const front_request& request,
+                           const traffic_context& context) {
+  Poco::UInt64 declared = 0;
   const auto text = request.get(context.headers.deadline, "");
-  constexpr Poco::UInt64 kLongest = 3'600'000;
-  if (!Poco::NumberParser::tryParseUnsigned64(text, told))
-    return milliseconds(kLongest);
-  return milliseconds(std::min(told, kLongest));
+  constexpr Poco::UInt64 kMaxTimeoutMs = 3'600'000;
+  if (!Poco::NumberParser::tryParseUnsigned64(text, declared))
+    return milliseconds(kMaxTimeoutMs);
+  return milliseconds(std::min(declared, kMaxTimeoutMs));
 }
 
 // Returns the value of a header, or an empty string if the header is missing or
@@ -70,20 +75,21 @@
   return Success();
 }
 
-// Claims and readings are a few KB; held whole, they can be sent again, and a
-// caller on a slow link holds no target's slot while it sends. What is longer
-// is passed on as it comes: the limit on bodies is tens of MB, and a few such
-// uploads at once would be more than the memory of an instance.
+// Most bodies, such as claims and sensor readings, are a few KB. Buffered
+// whole, they can be sent again, and a caller on a slow link occupies no slot
+// of a target while it sends. Longer bodies are streamed: the limit on bodies
+// is tens of MB, and a few such uploads at once would exceed the memory of an
+// instance.
 result<void> ReadBodyStart(front_request& request, traffic_request& read) {
   const auto& limits = read.manifest->limits();
   BOOST_OUTCOME_TRY(body,
                     request.OpenBody(limits.max_body_bytes,
                                      read.arrived + limits.header_timeout));
   read.body_length = body->length();
-  std::array<char, kPieceBytes> piece;
-  while (!body->ended() && read.body.size() < kHeldBytes) {
-    BOOST_OUTCOME_TRY(got, body->Read(piece));
-    read.body.append(piece.data(), got);
+  std::array<char, kChunkBytes> chunk;
+  while (!body->ended() && read.body.size() < kMaxBufferedBytes) {
+    BOOST_OUTCOME_TRY(got, body->Read(chunk));
+    read.body.append(chunk.data(), got);
   }
   if (!body->ended()) {
     body->set_deadline(read.deadline);
@@ -110,12 +116,13 @@
   read.id = request.get(context.headers.request_id, "");
   read.method = request.getMethod();
   read.headers = request;
-  const auto waits = CallerWaits(request, context);
+  const auto caller_timeout = CallerTimeout(request, context);
   read.deadline =
-      read.arrived + std::min(std::max(milliseconds{1}, waits - kWayBack),
-                              read.route->timeout);
+      read.arrived +
+      std::min(std::max(milliseconds{1}, caller_timeout - kResponseMargin),
+               read.route->timeout);
   BOOST_OUTCOME_TRYV(ReadBodyStart(request, read));
-  // Requests without a key are spread by their own ids.
+  // Requests without an affinity key are distributed by their own ids.
   read.key_hash = KeyHash(read.route->name,
                           request.get(context.headers.affinity_key, read.id));
   return read;
--- a/src/libsamphire/traffic/traffic_request_reader.h
+++ b/src/libsamphire/traffic/traffic_request_reader.h
@@ -8,9 +8,11 @@
 
 namespace samphire {
 
-// Reads a whole request and finds its route: kNoConfiguration, kUnknownPath,
-// kUnknownApiKey, kNoCommonRegion, kMalformedRequest, kBodyTooLarge,
-// kRequestTooSlow, kCallerGone.
+// Reads a request up to the first 128 KiB of its body, finds its route and
+// authenticates its team. Blocks until that part of the body has arrived. Fails
+// with kNoConfiguration, kUnknownPath, kUnknownApiKey, kNoCommonRegion,
+// kMalformedRequest, kBodyTooLarge, kRequestTooSlow or kCallerGone. `request`
+// must outlive the result, which reads the rest of a longer body from it.
 result<traffic_request> ReadTrafficRequest(front_request& request,
                                            const traffic_context& context);
 
--- a/src/libsamphire/traffic/traffic_settings.h
+++ b/src/libsamphire/traffic/traffic_settings.h
@@ -12,35 +12,46 @@
 
 namespace samphire {
 
-// How one entry of the host-and-path interface runs.
+// Settings of one entry that serves requests by host and path. Fixed while the
+// entry runs, except for `bounds`, which are the initial ones. Addresses have
+// the form HOST:PORT.
 struct traffic_settings {
+  // This entry's instance, failure domain and region.
   entry_place place;
+  // Serves the requests of callers.
   std::string caller_address;
+  // Serves the platform's readiness checks and its look-ups of entries.
   std::string readiness_address;
   std::string lookup_address;
+  // Serves other entries.
   std::string peer_address;
+  // Serves metrics in the Prometheus text format.
   std::string metrics_address;
-  // Peer addresses to join the fleet by; they may be stale.
+  // Peer addresses through which to join the fleet; some may be outdated.
   std::vector<std::string> seeds;
-  // Signs messages between entries; the same in the whole fleet.
+  // Secret key that signs messages between entries; the same in the whole
+  // fleet.
   std::string peer_key;
+  // Upper bound on open connections of callers.
   std::uint32_t max_connections = 1024;
-  // Entries of the whole fleet, at the least. One that starts while it is cut
-  // off from all others would else take itself for the only one.
-  std::size_t least_fleet = 1;
-  // News of an entry has reached its region by then, also after a crash of all
-  // and with every fifth message lost. By a model over 240 fleets; at 3 s one
-  // of them broke a bound.
+  // Lower bound on the number of entries in the whole fleet. Without it, an
+  // entry that starts while partitioned from all others would assume to be the
+  // only one and use the whole of each limit.
+  std::size_t min_fleet_size = 1;
+  // Time after its start by which gossip about an entry has reached its region,
+  // even after a crash of all entries and with every fifth message lost. In
+  // simulations of 240 fleets, 3 s let one of them exceed a limit.
   milliseconds settle_time{5000};
-  // An entry that has just started knows few of its region, and each that it
-  // does not know would be taken for missing: all would watch the platform.
-  // Until then the listing of the start has to do, and what peers tell.
-  milliseconds meeting_time{2000};
+  // Time after its start in which an entry discovers its region. An entry that
+  // knows few members yet would act as a watcher, and all entries that start at
+  // the same time would watch the platform. Until then an entry relies on one
+  // listing of the platform and on changes from peers.
+  milliseconds discovery_time{2000};
   // For this time after its start, an entry may not know the others of its
   // region and limits teams based on its own requests only.
   milliseconds startup_time{2500};
-  // What placing leaves out, to measure what it is worth.
-  mechanism_set without;
+  // Mechanisms that placement leaves out, to measure their benefit.
+  mechanism_set disabled_mechanisms;
   traffic_bounds bounds;
 };
 
--- a/src/libsamphire/traffic/traffic_state.cc
+++ b/src/libsamphire/traffic/traffic_state.cc
@@ -6,8 +6,8 @@
 
 bool traffic_state::SetManifest(const manifest_ptr& manifest) {
   std::lock_guard guard(lock_);
-  const auto present = manifest_.Get();
-  if (present && manifest->version() <= present->version())
+  const auto current = manifest_.Get();
+  if (current && manifest->version() <= current->version())
     return false;
   manifest_.Replace(manifest);
   return true;
@@ -15,24 +15,25 @@
 
 void traffic_state::SetTargets(std::vector<live_target> targets) {
   std::lock_guard guard(lock_);
-  listed_ = std::move(targets);
+  listed_targets_ = std::move(targets);
   targets_known_ = true;
-  Publish();
+  PublishTargets();
 }
 
 void traffic_state::SetEvacuatedDomains(std::set<std::string> domains) {
   std::lock_guard guard(lock_);
-  evacuated_ = std::move(domains);
-  Publish();
+  evacuated_domains_ = std::move(domains);
+  PublishTargets();
 }
 
 void traffic_state::SetBounds(const traffic_bounds& bounds) {
   bounds_.Replace(new traffic_bounds(bounds));
 }
 
-void traffic_state::Publish() {
+void traffic_state::PublishTargets() {
   if (targets_known_)
-    targets_.Replace(target_set_ptr(new target_set(listed_, evacuated_)));
+    targets_.Replace(
+        target_set_ptr(new target_set(listed_targets_, evacuated_domains_)));
 }
 
 bool traffic_state::IsReady() const {
--- a/src/libsamphire/traffic/traffic_state.h
+++ b/src/libsamphire/traffic/traffic_state.h
@@ -15,17 +15,23 @@
 
 namespace samphire {
 
-// What an entry believes of its surroundings, as its requests read it.
+// An entry's view of its configuration, targets and members, as request threads
+// read it. Thread-safe. Readers get immutable snapshots without waiting for
+// writers.
 class traffic_state {
  public:
-  // A version that is not above the present one is passed over: what an entry
-  // has acted on never goes back while it runs. False if it was.
+  // Replaces the manifest unless its version is not above the current one: an
+  // entry never returns to an older configuration while it runs. Returns
+  // whether the manifest was replaced.
   bool SetManifest(const manifest_ptr& manifest);
+  // Replaces the list of all targets, including those in evacuated domains.
   void SetTargets(std::vector<live_target> targets);
+  // Sets the failure domains whose targets get no new requests.
   void SetEvacuatedDomains(std::set<std::string> domains);
 
+  // Null until a manifest is set.
   manifest_ptr manifest() const { return manifest_.Get(); }
-  // Null until the targets are known.
+  // Null until targets are set.
   target_set_ptr targets() const { return targets_.Get(); }
   const shared_snapshot<entry_list>& entries() const { return entries_; }
   shared_snapshot<entry_list>& entries() { return entries_; }
@@ -34,18 +40,22 @@
   }
   void SetBounds(const traffic_bounds& bounds);
 
+  // Whether this entry is being stopped.
   std::atomic<bool> leaving = false;
 
-  // Whether requests can be served.
+  // Whether this entry can serve requests: it has a manifest and targets and is
+  // not leaving.
   bool IsReady() const;
 
  private:
-  void Publish();
+  // Publishes a new target_set. The caller must hold lock_.
+  void PublishTargets();
 
+  // Serializes writers.
   std::mutex lock_;
   bool targets_known_ = false;
-  std::vector<live_target> listed_;
-  std::set<std::string> evacuated_;
+  std::vector<live_target> listed_targets_;
+  std::set<std::string> evacuated_domains_;
   shared_snapshot<traffic_manifest> manifest_;
   shared_snapshot<target_set> targets_;
   shared_snapshot<traffic_bounds> bounds_{
--- a/tests/platform_adapter/platform_entry_test.cc
+++ b/tests/platform_adapter/platform_entry_test.cc
@@ -40,7 +40,7 @@
     *address = FreeAddress();
   traffic.peer_key = kKey;
   traffic.settle_time = 0ms;
-  traffic.meeting_time = 0ms;
+  traffic.discovery_time = 0ms;
   traffic.bounds.limit_slack = 20;
   settings.store_addresses = {store};
   settings.regions = {{"a-1", "a"}};
--- a/tests/platform_adapter/readers_test.cc
+++ b/tests/platform_adapter/readers_test.cc
@@ -177,10 +177,10 @@
 // Someone measures what a mechanism is worth and misspells it. Taken silently,
 // the run would be one with the mechanism on, and its figure a wrong one.
 TEST_CASE("placing goes without the mechanisms that settings name") {
-  CHECK(ReadSettings(kSettings).value().traffic.without.empty());
+  CHECK(ReadSettings(kSettings).value().traffic.disabled_mechanisms.empty());
   const auto one = Replaced(kSettings, R"("bounds")",
                             R"("placing_without": ["region-plan"], "bounds")");
-  CHECK(ReadSettings(one).value().traffic.without ==
+  CHECK(ReadSettings(one).value().traffic.disabled_mechanisms ==
         mechanism_set{placing_mechanism::kRegionPlan});
   const auto misspelt = ReadSettings(Replaced(one, "region-plan", "region"));
   REQUIRE_FALSE(misspelt);
--- a/tests/routing/shared_bounds_model_test.cc
+++ b/tests/routing/shared_bounds_model_test.cc
@@ -207,13 +207,13 @@
     for (int i = 0; i < kRequests; ++i) {
       requests_.Add(now);
       one.retries.OnRequest(now);
-      if (one.retries.TryTake(kRetries, list->fleet_sharers, now)) {
+      if (one.retries.TryTake(kRetries, list->settled_fleet_size, now)) {
         retries_.Add(now);
         took_retries_ = true;
       }
     }
     for (int i = 0; i < kColdTries; ++i)
-      SendCold(one, list->region_sharers, now);
+      SendCold(one, list->settled_region_members, now);
     if (now - one.started < kConfigLoadTime)
       return;
     const auto count =
@@ -317,7 +317,7 @@
             .region_peak = list.region_peak,
             .fleet_peak = std::max(kFailureDomains, list.fleet_peak),
             .reserve = kReserve,
-            .settled = list.fleet_sharers > 0,
+            .settled = list.settled_fleet_size > 0,
             .unchanged_since = list.unchanged_since};
   }
   time_point now() const { return world_.network.now(); }
--- a/tests/routing/source_plan_test.cc
+++ b/tests/routing/source_plan_test.cc
@@ -49,14 +49,14 @@
 // Guards against a follower that keeps an outdated configuration because it
 // only ever asks deputies that the platform rejects.
 TEST_CASE("a follower asks the next deputies after a stale round") {
-  const std::vector<std::string> deputies = {"a", "b", "c", "d"};
-  CHECK(DeputiesToAsk(deputies, 0) == std::vector<std::string>{"a", "b"});
-  CHECK(DeputiesToAsk(deputies, 1) == std::vector<std::string>{"c", "d"});
-  CHECK(DeputiesToAsk(deputies, 2) == std::vector<std::string>{"a", "b"});
-  CHECK(DeputiesToAsk({"a", "b", "c"}, 1) ==
+  const std::vector<std::string> backups = {"a", "b", "c", "d"};
+  CHECK(BackupsToQuery(backups, 0) == std::vector<std::string>{"a", "b"});
+  CHECK(BackupsToQuery(backups, 1) == std::vector<std::string>{"c", "d"});
+  CHECK(BackupsToQuery(backups, 2) == std::vector<std::string>{"a", "b"});
+  CHECK(BackupsToQuery({"a", "b", "c"}, 1) ==
         std::vector<std::string>{"c", "a"});
-  CHECK(DeputiesToAsk({"a"}, 3) == std::vector<std::string>{"a"});
-  CHECK(DeputiesToAsk({}, 1).empty());
+  CHECK(BackupsToQuery({"a"}, 3) == std::vector<std::string>{"a"});
+  CHECK(BackupsToQuery({}, 1).empty());
 }
 
 TEST_CASE("a watcher of the own failure domain is asked first") {
@@ -89,16 +89,16 @@
 TEST_CASE("a few deputies ask the platform when the watchers can't tell") {
   const auto entries = Region(100);
   std::map<source_role, int> roles;
-  std::set<std::string> deputies;
+  std::set<std::string> backups;
   for (int i = 0; i < 100; ++i) {
     const auto plan = PlanSources(Place(i), entries);
     ++roles[plan.role];
     if (plan.role == source_role::kFollower) {
-      CHECK(plan.deputies.size() == 4);
-      deputies.insert(plan.deputies.begin(), plan.deputies.end());
+      CHECK(plan.backups.size() == 4);
+      backups.insert(plan.backups.begin(), plan.backups.end());
     }
   }
   CHECK(roles[source_role::kWatcher] == 2);
-  CHECK(roles[source_role::kDeputy] == 4);
-  CHECK(deputies.size() == 4);
+  CHECK(roles[source_role::kBackup] == 4);
+  CHECK(backups.size() == 4);
 }
--- a/tests/traffic/direct_transport.h
+++ b/tests/traffic/direct_transport.h
@@ -10,8 +10,9 @@
 
 namespace samphire {
 
-// Delivers to another one of its kind at once, on the sender's thread, or keeps
-// what was sent for the test to look at and deliver later.
+// A fake transport that delivers every message to the connected transport
+// synchronously, on the sender's thread. With `hold_messages` it keeps messages
+// until the test delivers them.
 class direct_transport final : public peer_transport {
  public:
   explicit direct_transport(std::string address)
@@ -23,8 +24,8 @@
                     message_kind kind,
                     const std::string& payload) override {
     sent.push_back(kind);
-    if (holds)
-      held_.emplace_back(kind, payload);
+    if (hold_messages)
+      held_messages_.emplace_back(kind, payload);
     else
       Deliver(kind, payload);
     return Success();
@@ -33,11 +34,12 @@
     handlers_[kind] = std::move(receive);
   }
   void DeliverHeld() {
-    for (const auto& [kind, payload] : std::exchange(held_, {}))
+    for (const auto& [kind, payload] : std::exchange(held_messages_, {}))
       Deliver(kind, payload);
   }
 
-  bool holds = false;
+  bool hold_messages = false;
+  // Kinds of all messages sent so far.
   std::vector<message_kind> sent;
 
  private:
@@ -50,7 +52,7 @@
   const std::string address_;
   direct_transport* other_ = nullptr;
   std::map<message_kind, handler> handlers_;
-  std::vector<std::pair<message_kind, std::string>> held_;
+  std::vector<std::pair<message_kind, std::string>> held_messages_;
 };
 
 }  // namespace samphire
--- a/tests/traffic/shared_store_test.cc
+++ b/tests/traffic/shared_store_test.cc
@@ -24,20 +24,20 @@
   }
 };
 
-// A follower that has no watchers to ask and one deputy.
-struct deputy_fixture {
+// A follower that has no watchers to query and one backup.
+struct backup_fixture {
   system_clock_source clock;
   metrics counters;
   peer_keys keys = peer_keys::Parse("0123456789abcdef0123456789abcdef").value();
   const std::string address = FreeAddress();
-  object_relay deputy_relay{clock};
-  peer_signer deputy_signer{keys, {"deputy", 1}, clock};
+  object_relay backup_relay{clock};
+  peer_signer backup_signer{keys, {"deputy", 1}, clock};
   std::atomic<int> request_count = 0;
   front_server server{
       address,
       new handler_factory([this](const Poco::Net::HTTPServerRequest&) {
         ++request_count;
-        return new mirror_handler(deputy_relay, deputy_signer, address,
+        return new mirror_handler(backup_relay, backup_signer, address,
                                   counters);
       }),
       {.max_connections = 4},
@@ -55,20 +55,20 @@
                      [this] {
                        return source_plan{.role = source_role::kFollower,
                                           .watchers = {},
-                                          .deputies = {address}};
+                                          .backups = {address}};
                      },
                      [] { return std::vector<std::string>{}; }};
 
-  deputy_fixture() { server.Start(); }
+  backup_fixture() { server.Start(); }
 };
 
 }  // namespace
 
-// Guards against followers that poll a deputy in a busy loop while the watchers
+// Guards against followers that poll a backup in a busy loop while the watchers
 // cannot reach the platform.
-TEST_CASE("a follower pauses before it asks an idle deputy again") {
-  deputy_fixture fixture;
-  fixture.deputy_relay.Publish(
+TEST_CASE("a follower pauses before it queries an idle backup again") {
+  backup_fixture fixture;
+  fixture.backup_relay.Publish(
       "k/", {.cursor = 5, .reset = true, .events = {{"k/a", 3, "A"}}});
   const auto deadline = fixture.clock.now() + 1s;
   while (fixture.clock.now() < deadline)
@@ -76,9 +76,9 @@
   CHECK(fixture.request_count <= 5);
 }
 
-TEST_CASE("a follower receives a change from a deputy without delay") {
-  deputy_fixture fixture;
-  fixture.deputy_relay.Publish(
+TEST_CASE("a follower receives a change from a backup without delay") {
+  backup_fixture fixture;
+  fixture.backup_relay.Publish(
       "k/", {.cursor = 6, .reset = true, .events = {{"k/a", 6, "A"}}});
   const auto start = fixture.clock.now();
   const auto batch = fixture.store.Watch("k/", 5, 1s);
--- a/tests/traffic/team_limiter_test.cc
+++ b/tests/traffic/team_limiter_test.cc
@@ -23,7 +23,7 @@
 }
 
 // One entry's limiter, which knows the entries "a" and "b" of its region.
-struct node {
+struct limiter_node {
   manual_clock& clock;
   direct_transport transport;
   metrics counters;
@@ -31,7 +31,7 @@
   traffic_state state;
   team_limiter limiter{transport, settings, state, clock, counters, 1};
 
-  node(manual_clock& shared_clock, const std::string& name)
+  limiter_node(manual_clock& shared_clock, const std::string& name)
       : clock(shared_clock), transport(name + ":1") {
     settings.place = {name, name + "-1", "r"};
     settings.startup_time = 0ms;
@@ -41,7 +41,7 @@
     list->peer_addresses = {"a:1", "b:1"};
     list->region_peak = 2;
     list->fleet_peak = 2;
-    list->fleet_sharers = 2;
+    list->settled_fleet_size = 2;
     list->unchanged_since = clock.now() - 10s;
     state.entries().Replace(list);
   }
@@ -53,14 +53,15 @@
   }
 };
 
-struct rig {
+// Two entries of one region. `owner` is the one that owns the team's permits.
+struct limiter_fixture {
   manual_clock clock;
-  node a{clock, "a"};
-  node b{clock, "b"};
-  node* owner = nullptr;
-  node* other = nullptr;
+  limiter_node a{clock, "a"};
+  limiter_node b{clock, "b"};
+  limiter_node* owner = nullptr;
+  limiter_node* other = nullptr;
 
-  rig() {
+  limiter_fixture() {
     a.transport.ConnectTo(b.transport);
     b.transport.ConnectTo(a.transport);
     const bool a_owns = *ChooseGrantors(kTeam, {"a", "b"}).owner == 0;
@@ -72,103 +73,103 @@
 }  // namespace
 
 TEST_CASE("an entry and the owner of a team's permits share its limit") {
-  rig r;
-  CHECK(r.other->limiter.Take(kTeam).decision.granted);
-  CHECK(r.owner->TakeAll() == 9);
-  const auto refused = r.other->limiter.Take(kTeam);
+  limiter_fixture fixture;
+  CHECK(fixture.other->limiter.Take(kTeam).decision.granted);
+  CHECK(fixture.owner->TakeAll() == 9);
+  const auto refused = fixture.other->limiter.Take(kTeam);
   CHECK_FALSE(refused.decision.granted);
   CHECK(refused.decision.retry_after > 0ms);
   CHECK(refused.role == permit_role::kOwner);
 }
 
-// Guards against exceeding the limit because a deputy grants permits in
-// addition to an owner that is too busy to answer.
-TEST_CASE("no deputy replaces a silent owner that recently refused the team") {
-  rig r;
-  CHECK(r.owner->TakeAll() == 10);
-  CHECK_FALSE(r.other->limiter.Take(kTeam).decision.granted);
-  r.clock.Advance(1s);
-  r.other->transport.holds = true;
-  CHECK(r.other->TakeAll() == 0);
-  r.clock.Advance(3s);
-  CHECK(r.other->TakeAll() > 0);
+// Guards against exceeding the limit because a backup grants permits in
+// addition to an owner that is too busy to respond.
+TEST_CASE("no backup replaces an unresponsive owner that refused recently") {
+  limiter_fixture fixture;
+  CHECK(fixture.owner->TakeAll() == 10);
+  CHECK_FALSE(fixture.other->limiter.Take(kTeam).decision.granted);
+  fixture.clock.Advance(1s);
+  fixture.other->transport.hold_messages = true;
+  CHECK(fixture.other->TakeAll() == 0);
+  fixture.clock.Advance(3s);
+  CHECK(fixture.other->TakeAll() > 0);
 }
 
 TEST_CASE("an unused permit is returned to the entry that granted it") {
-  rig r;
-  const auto permit = r.other->limiter.Take(kTeam);
-  CHECK(r.owner->TakeAll() == 9);
-  r.other->limiter.ReturnPermit(kTeam, permit);
-  CHECK(r.other->TakeAll() == 1);
+  limiter_fixture fixture;
+  const auto permit = fixture.other->limiter.Take(kTeam);
+  CHECK(fixture.owner->TakeAll() == 9);
+  fixture.other->limiter.ReturnPermit(kTeam, permit);
+  CHECK(fixture.other->TakeAll() == 1);
 }
 
 // Guards against requests failing, or each waiting for the timeout, while the
-// owner does not answer.
-TEST_CASE("the deputy replaces a silent owner, which is asked once a second") {
-  rig r;
-  r.other->transport.holds = true;
-  const auto permit = r.other->limiter.Take(kTeam);
+// owner does not respond.
+TEST_CASE("a backup replaces an unresponsive owner, queried once a second") {
+  limiter_fixture fixture;
+  fixture.other->transport.hold_messages = true;
+  const auto permit = fixture.other->limiter.Take(kTeam);
   CHECK(permit.decision.granted);
   CHECK(permit.role == permit_role::kDeputy);
-  r.other->TakeAll();
-  CHECK(r.other->transport.sent.size() == 1);
-  r.clock.Advance(1s);
-  CHECK(r.other->TakeAll() <= 7);
-  CHECK(r.other->transport.sent.size() == 2);
+  fixture.other->TakeAll();
+  CHECK(fixture.other->transport.sent.size() == 1);
+  fixture.clock.Advance(1s);
+  CHECK(fixture.other->TakeAll() <= 7);
+  CHECK(fixture.other->transport.sent.size() == 2);
 }
 
 // Guards against losing permits whose grant arrives after the timeout.
-TEST_CASE("a permit granted by a late answer is returned to the owner") {
-  rig r;
-  r.other->transport.holds = true;
-  r.other->limiter.Take(kTeam);
-  r.other->transport.holds = false;
-  r.other->transport.DeliverHeld();
-  CHECK(r.owner->TakeAll() == 10);
+TEST_CASE("a permit granted by a late response is returned to the owner") {
+  limiter_fixture fixture;
+  fixture.other->transport.hold_messages = true;
+  fixture.other->limiter.Take(kTeam);
+  fixture.other->transport.hold_messages = false;
+  fixture.other->transport.DeliverHeld();
+  CHECK(fixture.owner->TakeAll() == 10);
 }
 
 // Guards against overloading the owner with requests of a hot team.
 TEST_CASE("a refusal by the owner is cached") {
-  rig r;
-  r.owner->TakeAll();
+  limiter_fixture fixture;
+  fixture.owner->TakeAll();
   for (int i = 0; i < 50; ++i)
-    CHECK_FALSE(r.other->limiter.Take(kTeam).decision.granted);
-  CHECK(r.other->transport.sent.size() == 1);
-  r.clock.Advance(200ms);
-  CHECK(r.other->limiter.Take(kTeam).decision.granted);
+    CHECK_FALSE(fixture.other->limiter.Take(kTeam).decision.granted);
+  CHECK(fixture.other->transport.sent.size() == 1);
+  fixture.clock.Advance(200ms);
+  CHECK(fixture.other->limiter.Take(kTeam).decision.granted);
 }
 
 TEST_CASE("a lowered limit takes effect at the owner immediately") {
-  rig r;
-  r.owner->state.SetManifest(Manifest(2, 4));
-  CHECK(r.other->TakeAll() == 4);
+  limiter_fixture fixture;
+  fixture.owner->state.SetManifest(Manifest(2, 4));
+  CHECK(fixture.other->TakeAll() == 4);
 }
 
 TEST_CASE("a team without a limit needs no permit") {
-  rig r;
-  for (auto* each : {&r.a, &r.b})
+  limiter_fixture fixture;
+  for (auto* each : {&fixture.a, &fixture.b})
     each->state.SetManifest(Manifest(2, 0));
-  CHECK(r.other->TakeAll() == 100);
-  CHECK(r.other->transport.sent.empty());
+  CHECK(fixture.other->TakeAll() == 100);
+  CHECK(fixture.other->transport.sent.empty());
 }
 
 TEST_CASE("permit messages that can't be decoded are counted and dropped") {
-  rig r;
+  limiter_fixture fixture;
   for (const auto kind :
        {message_kind::kPermitAsk, message_kind::kPermitAnswer,
         message_kind::kPermitReturn, message_kind::kPermitBorrow,
         message_kind::kPermitLoan})
-    REQUIRE(r.other->transport.Send("", kind, "x"));
-  CHECK(r.owner->counters.Render().find("permits_malformed_total 5") !=
+    REQUIRE(fixture.other->transport.Send("", kind, "x"));
+  CHECK(fixture.owner->counters.Render().find("permits_malformed_total 5") !=
         std::string::npos);
-  CHECK(r.owner->transport.sent.empty());
+  CHECK(fixture.owner->transport.sent.empty());
 }
 
 // Two regions with one entry each; all of a team's callers are in one of them.
 TEST_CASE("an owner that runs short borrows from the owner in another region") {
-  rig r;
-  for (auto* each : {&r.a, &r.b}) {
-    const bool is_a = each == &r.a;
+  limiter_fixture fixture;
+  for (auto* each : {&fixture.a, &fixture.b}) {
+    const bool is_a = each == &fixture.a;
     each->settings.place.region = is_a ? "r-a" : "r-b";
     each->state.SetBounds([] {
       traffic_bounds bounds;
@@ -178,11 +179,11 @@
     boost::intrusive_ptr<entry_list> list(new entry_list);
     list->names = {is_a ? "a" : "b"};
     list->peer_addresses = {is_a ? "a:1" : "b:1"};
-    list->fleet_sharers = 2;
+    list->settled_fleet_size = 2;
     list->other_regions = {{is_a ? "r-b" : "r-a", {is_a ? "b:1" : "a:1"}}};
-    list->unchanged_since = r.clock.now() - 10s;
+    list->unchanged_since = fixture.clock.now() - 10s;
     each->state.entries().Replace(list);
   }
-  CHECK(r.a.TakeAll() > 5);
-  CHECK(r.a.TakeAll() + r.b.TakeAll() < 5);
+  CHECK(fixture.a.TakeAll() > 5);
+  CHECK(fixture.a.TakeAll() + fixture.b.TakeAll() < 5);
 }
