--- a/bench/decisions/dispatched_region.cc
+++ b/bench/decisions/dispatched_region.cc
@@ -128,10 +128,10 @@
 void dispatched_region::Apply(simulated_entry& entry,
                               const std::vector<wakeup>& wakeups) {
   for (const auto& each : wakeups) {
-    if (const auto* grant = std::get_if<slot_grant>(&each.fate))
+    if (const auto* grant = std::get_if<slot_grant>(&each.result))
       Begin(entry, *grant);
     else
-      Refuse(each.request_id, std::get<refusal>(each.fate).reason);
+      Refuse(each.request_id, std::get<refusal>(each.result).reason);
   }
 }
 
--- a/src/libsamphire/allowance/loan_borrower.cc
+++ b/src/libsamphire/allowance/loan_borrower.cc
@@ -95,7 +95,7 @@
 void loan_borrower::Advance(time_point now) {
   GiveUpLate(now);
   SendBackIdle(now);
-  const auto wish = slots_.WantsLoan(now);
+  const auto wish = slots_.LoanDemand(now);
   if (wish && borrowing_) {
     Renew(*wish, now);
     AskFor(*wish, now);
@@ -118,7 +118,7 @@
 }
 
 void loan_borrower::SendBackIdle(time_point now) {
-  for (const auto id : slots_.TakeIdleLoans(now)) {
+  for (const auto id : slots_.RemoveIdleLoans(now)) {
     const auto found = held_.find(id);
     const borrowed_slot slot = found->second;
     held_.erase(found);
@@ -128,7 +128,7 @@
   }
 }
 
-void loan_borrower::Renew(const loan_wish& wish, time_point now) {
+void loan_borrower::Renew(const loan_demand& wish, time_point now) {
   for (auto& [id, slot] : held_) {
     if (slot.renewal_open || slot.usable_until <= now ||
         slot.usable_until - now > terms_.ttl / kRenewPart)
@@ -144,7 +144,7 @@
   }
 }
 
-void loan_borrower::AskFor(const loan_wish& wish, time_point now) {
+void loan_borrower::AskFor(const loan_demand& wish, time_point now) {
   if (lenders_.empty())
     return;
   for (auto i = OpenAsks(); i < wish.waits.size(); ++i)
--- a/src/libsamphire/allowance/loan_borrower.h
+++ b/src/libsamphire/allowance/loan_borrower.h
@@ -70,8 +70,8 @@
   void SendReturns(time_point now);
   void GiveUpLate(time_point now);
   void SendBackIdle(time_point now);
-  void Renew(const loan_wish& wish, time_point now);
-  void AskFor(const loan_wish& wish, time_point now);
+  void Renew(const loan_demand& wish, time_point now);
+  void AskFor(const loan_demand& wish, time_point now);
   void GiveUpAll(time_point now);
   void Ask(const std::string& lender,
            duration waited,
--- a/src/libsamphire/allowance/loan_lender.cc
+++ b/src/libsamphire/allowance/loan_lender.cc
@@ -115,7 +115,7 @@
   // A borrower that is never without waiters would otherwise keep the slot for
   // ever, while those who own it wait.
   const bool needed_here =
-      !lending_ || slots_.WantsLoan(now).has_value() || !asks_.empty();
+      !lending_ || slots_.LoanDemand(now).has_value() || !asks_.empty();
   if (!known || needed_here || !IsSound(message)) {
     Refuse(from, message.service, message.borrower_incarnation, message.ask_id);
     return;
@@ -192,7 +192,7 @@
   if (oldest == told_oldest_)
     return;
   told_oldest_ = oldest;
-  Wake(slots_.SetOldestAsk(oldest, now));
+  Wake(slots_.SetOldestLoanRequest(oldest, now));
 }
 
 void loan_lender::Close(std::map<std::uint64_t, loan>::iterator closed,
--- a/src/libsamphire/decision/admission_decision.h
+++ b/src/libsamphire/decision/admission_decision.h
@@ -9,6 +9,8 @@
 
 namespace samphire {
 
+// Result of submitting a request to a service_dispatcher: it starts at once,
+// waits in the queue, or is refused.
 using admission_decision = std::variant<slot_grant, queued, refusal>;
 
 }  // namespace samphire
--- a/src/libsamphire/decision/admission_request.h
+++ b/src/libsamphire/decision/admission_request.h
@@ -10,18 +10,23 @@
 
 namespace samphire {
 
-// One attempt that asks for a slot of a target.
+// One attempt of a request that needs a slot of a target.
 struct admission_request {
+  // Identifies the request in wakeups and in Cancel; unique per dispatcher.
   std::uint64_t id = 0;
-  // Read only while the request is submitted.
+  // Only read during the call that submits the request; not kept afterwards.
   const samphire::request_class* request_class = nullptr;
+  // The region the caller belongs to; shift caps are counted by it.
   std::string home_region;
+  // When the first attempt of the request reached this entry.
   time_point arrived;
   time_point deadline;
-  // Where earlier attempts of the same request failed.
+  // Failure domains in which earlier attempts of the same request failed.
   std::vector<std::string> avoid_failure_domains;
+  // Whether this is a second or later attempt.
   bool retry = false;
-  // A crash suspect: it gets a target with nothing else running, if any.
+  // Set for a crash suspect: it is placed on a target that runs nothing else,
+  // if there is one.
   bool isolate = false;
 };
 
--- a/src/libsamphire/decision/attempt_outcome.h
+++ b/src/libsamphire/decision/attempt_outcome.h
@@ -8,18 +8,22 @@
 // How one attempt at a target ended.
 enum class attempt_outcome {
   kOk,
-  // A whole answer that says the target failed.
+  // A complete response which reports that the target failed.
   kTargetError,
-  // The target refused for its own load; the request did not run.
+  // The target refused the request because of its own load; the request did not
+  // run.
   kTargetShed,
   kConnectFailed,
   kTimedOut,
+  // The response ended before it was complete.
   kTruncated,
-  // The connection was closed after the request was sent, without an answer.
+  // The connection was closed after the request was sent and before a response.
   kLost,
+  // The caller went away before the attempt had ended.
   kCancelled,
 };
 
+// Names used in log events.
 inline constexpr enum_names<attempt_outcome, 8> kAttemptOutcomeNames{{
     {attempt_outcome::kOk, "ok"},
     {attempt_outcome::kTargetError, "target-error"},
--- a/src/libsamphire/decision/bulk_limit.h
+++ b/src/libsamphire/decision/bulk_limit.h
@@ -7,25 +7,31 @@
 
 namespace samphire {
 
-// How many slots bulk work may hold at one entry.
+// Limits how many slots bulk work may use at one entry for one service, so that
+// interactive work finds free ones. Not thread-safe.
 class bulk_limit {
  public:
+  // `percent` is the largest share of the slots, in 0..100, that bulk work may
+  // use; 0 admits no bulk work at all.
   explicit bulk_limit(std::uint32_t percent) : percent_(percent) {}
 
   void SetPercent(std::uint32_t percent) { percent_ = percent; }
 
-  // The number of interactive requests running and waiting has changed.
+  // Reports that the number of interactive requests, running and queued
+  // together, has changed to `count`.
   void OnInteractiveLoad(std::uint32_t count, time_point now);
 
-  // The most bulk requests at once when `slots` are held.
+  // Returns the maximum number of concurrent bulk requests out of `slots`
+  // usable slots.
   std::uint32_t allowed(std::uint32_t slots) const;
-  // How long bulk work waits, out of the time that its caller has, before it
-  // gets one slot whatever the interactive load.
-  duration patience(std::uint32_t slots, duration whole_time) const;
+  // Returns how long a bulk request, whose caller allows `whole_time` in all,
+  // waits before it gets one slot regardless of the interactive load.
+  duration starvation_limit(std::uint32_t slots, duration whole_time) const;
 
  private:
   std::uint32_t percent_;
   std::uint32_t current_ = 0;
+  // Exponentially weighted average of the interactive demand, in requests.
   double mean_ = 0;
   time_point updated_;
 };
--- a/src/libsamphire/decision/cancel_result.h
+++ b/src/libsamphire/decision/cancel_result.h
@@ -7,7 +7,8 @@
 
 namespace samphire {
 
-// Whether a waiting request was found and dropped, and who got its place.
+// Result of cancelling a request: whether it was found in the queue and
+// removed, and the waiters that were served or refused as a result.
 struct cancel_result {
   bool found = false;
   std::vector<wakeup> wakeups;
--- a/src/libsamphire/decision/class_load.h
+++ b/src/libsamphire/decision/class_load.h
@@ -10,15 +10,18 @@
 
 namespace samphire {
 
-// What the dispatcher keeps of one request class.
+// State that the dispatcher keeps for one request class.
 struct class_load {
+  // `prior` is the service time assumed until the first sample.
   class_load(const request_class& declared, duration prior)
       : rules(declared), service(prior) {}
 
+  // The declaration under which the waiting requests were queued.
   request_class rules;
   service_time service;
-  // When the last sample came.
+  // When the latest service time sample was taken.
   time_point measured_at{};
+  // Number of requests of the class that wait for a slot.
   std::uint32_t queued = 0;
 };
 
--- a/src/libsamphire/decision/class_status.h
+++ b/src/libsamphire/decision/class_status.h
@@ -8,9 +8,10 @@
 
 namespace samphire {
 
-// What one request class has waiting, and how long its work takes.
+// Queue length and mean service time of one request class.
 struct class_status {
   std::string name;
+  // Number of requests that wait for a slot.
   std::size_t queued = 0;
   duration mean_service{0};
 };
--- a/src/libsamphire/decision/crash_notice.h
+++ b/src/libsamphire/decision/crash_notice.h
@@ -8,11 +8,12 @@
 
 namespace samphire {
 
-// Tells the other entries that a target was lost while this request ran there.
+// Message to the other entries of the region: a target was lost while the
+// request with this fingerprint ran on it.
 struct crash_notice {
   request_fingerprint fingerprint = 0;
   std::string target;
-  // Whether nothing else of this entry ran on the target.
+  // Whether no other request of the sending entry ran on the target.
   bool alone = false;
 
   template <typename Archive>
--- a/src/libsamphire/decision/crash_quarantine.h
+++ b/src/libsamphire/decision/crash_quarantine.h
@@ -9,78 +9,92 @@
 #include <vector>
 
 #include "base/clock_source.h"
-#include "decision/aging_map.h"
 #include "decision/attempt_outcome.h"
 #include "decision/crash_notice.h"
-#include "decision/crash_verdict.h"
+#include "decision/expiring_lru_map.h"
+#include "decision/quarantine_decision.h"
 #include "decision/request_fingerprint.h"
 
 namespace samphire {
 
-// Recognises a request that crashes each target which runs it, and tells it
-// from those that merely shared a target with it. Not thread-safe.
+// Detects requests that crash every target which runs them, and distinguishes
+// them from requests that merely ran on the same target at the time. One entry
+// keeps one quarantine for all its services. Memory is bounded. Not
+// thread-safe.
 class crash_quarantine {
  public:
   crash_quarantine();
 
-  crash_verdict Judge(request_fingerprint fingerprint, time_point now);
+  // Decides how a request with this fingerprint may run now.
+  quarantine_decision Decide(request_fingerprint fingerprint, time_point now);
 
-  // The targets that were lost while a suspect ran there.
-  std::vector<std::string> LostWith(request_fingerprint fingerprint,
-                                    time_point now);
+  // Returns the targets that were lost while the request, a suspect, ran on
+  // them.
+  std::vector<std::string> TargetsLostWith(request_fingerprint fingerprint,
+                                           time_point now);
 
-  // An attempt has been sent to the target.
-  void Started(request_fingerprint fingerprint, const std::string& target);
-  // It has ended. A notice is for the region's other entries.
-  std::optional<crash_notice> Finished(request_fingerprint fingerprint,
-                                       const std::string& target,
-                                       attempt_outcome outcome,
-                                       time_point now);
+  // Reports that an attempt has been sent to the target.
+  void OnAttemptStarted(request_fingerprint fingerprint,
+                        const std::string& target);
+  // Reports that an attempt has ended. Returns a notice to be sent to the other
+  // entries of the region if a target was lost with it.
+  std::optional<crash_notice> OnAttemptFinished(request_fingerprint fingerprint,
+                                                const std::string& target,
+                                                attempt_outcome outcome,
+                                                time_point now);
+  // Applies a crash notice that another entry sent.
   void OnNotice(const crash_notice& notice, time_point now);
 
   std::size_t suspects() const { return suspects_.size(); }
-  std::size_t quarantined() const { return convicts_.size(); }
-  // Target losses seen, each counted once however many requests it took.
+  std::size_t quarantined() const { return quarantined_.size(); }
+  // Number of target losses seen; each counts once however many requests were
+  // lost with the target.
   std::uint64_t targets_lost() const { return targets_lost_; }
 
  private:
-  // One loss of a target while the suspect ran there.
-  struct mark {
+  // One loss of a target while the suspect ran on it.
+  struct crash_record {
     std::string target;
-    // Nothing else is known to have run there.
+    // Whether nothing else is known to have run on the target.
     bool alone = false;
   };
   struct suspect {
-    std::vector<mark> marks;
+    std::vector<crash_record> crashes;
   };
   struct loss {
     request_fingerprint first_suspect = 0;
     bool shared = false;
-    // Attempts of this entry that ran there when the loss was learned, and
-    // whose end is still to be told.
-    std::uint32_t exposed = 0;
+    // Attempts of this entry that ran on the target when the loss became known,
+    // and whose outcome has not been reported yet.
+    std::uint32_t pending_outcomes = 0;
   };
-  struct nothing {};
+  struct no_value {};
 
-  // Whether an attempt that was lost there only began after the target was.
-  bool CameAfterLoss(const std::string& target, time_point now);
-  // Notes the loss and tells whether the request was alone in it.
-  bool NoteLoss(const std::string& target,
-                request_fingerprint fingerprint,
-                bool shared,
-                time_point now);
-  void Mark(request_fingerprint fingerprint,
-            const std::string& target,
-            bool alone,
-            time_point now);
-  bool IsConvictedBy(const std::vector<mark>& marks, bool answered) const;
-  void Acquit(request_fingerprint fingerprint, time_point now);
+  // Returns whether an attempt that was lost on the target started only after
+  // the target had been lost.
+  bool StartedAfterLoss(const std::string& target, time_point now);
+  // Records the loss and returns whether the request was the only one on the
+  // target.
+  bool RecordLoss(const std::string& target,
+                  request_fingerprint fingerprint,
+                  bool shared,
+                  time_point now);
+  // Adds the loss to the suspect's crashes, and quarantines the request when it
+  // has caused enough of them.
+  void RecordSuspect(request_fingerprint fingerprint,
+                     const std::string& target,
+                     bool alone,
+                     time_point now);
+  bool MeetsQuarantineThreshold(const std::vector<crash_record>& crashes,
+                                bool answered) const;
+  // Removes all suspicion from a request that got a complete response.
+  void Clear(request_fingerprint fingerprint, time_point now);
 
-  aging_map<request_fingerprint, suspect> suspects_;
-  aging_map<request_fingerprint, nothing> convicts_;
-  // Requests that had a whole answer lately.
-  aging_map<request_fingerprint, nothing> answered_;
-  aging_map<std::string, loss> losses_;
+  expiring_lru_map<request_fingerprint, suspect> suspects_;
+  expiring_lru_map<request_fingerprint, no_value> quarantined_;
+  // Requests that got a complete response recently.
+  expiring_lru_map<request_fingerprint, no_value> answered_;
+  expiring_lru_map<std::string, loss> losses_;
   // How many attempts of this entry run on each target, and of each request.
   std::unordered_map<std::string, std::uint32_t> running_on_;
   std::unordered_map<request_fingerprint, std::uint32_t> running_;
--- a/src/libsamphire/decision/dispatcher_status.h
+++ b/src/libsamphire/decision/dispatcher_status.h
@@ -12,26 +12,32 @@
 
 namespace samphire {
 
-// One service at one entry, for operators, gossip and tests.
+// Snapshot of one service at one entry, for operators, gossip and tests.
 struct dispatcher_status {
+  // Slots owned through slot partitions, lent to other entries, and borrowed
+  // from them.
   std::uint32_t owned = 0;
   std::uint32_t lent = 0;
   std::uint32_t borrowed = 0;
   // Slots that could start work now.
   std::uint32_t free = 0;
+  // Running requests of any kind, and bulk requests alone.
   std::uint32_t in_flight = 0;
   std::uint32_t bulk_in_flight = 0;
   // Owned slots of targets that are closed or ejected.
   std::uint32_t unusable = 0;
-  // The share of the slots held that is not in use, in 0..1.
+  // Share of the usable slots that is not in use, in 0..1.
   double headroom = 0;
+  // How long the latest measured request had waited when it started.
   duration queue_delay{0};
-  // How far priorities are shed: 0 none, 1 low, 2 low and normal.
+  // Load shedding by priority: 0 sheds nothing, 1 all of low, 2 all of low and
+  // normal priority; fractions shed part of a priority.
   double shed_level = 0;
   std::vector<class_status> classes;
   std::vector<refusal_count> refusals;
+  // Names of the ejected targets.
   std::vector<std::string> ejected;
-  // Regions with a declared cap or work here.
+  // Regions that have a declared shift cap or work running here.
   std::vector<shift_status> shifts;
 };
 
--- a/src/libsamphire/decision/ejection_cause.h
+++ b/src/libsamphire/decision/ejection_cause.h
@@ -5,7 +5,7 @@
 
 namespace samphire {
 
-// Why a target gets no work for a while.
+// Why a target was ejected, that is, receives no work for a backoff period.
 enum class ejection_cause { kFailures, kSlowness, kFailedProbe };
 
 inline constexpr enum_names<ejection_cause, 3> kEjectionCauseNames{{
--- a/src/libsamphire/decision/aging_map.h
+++ b/src/libsamphire/decision/expiring_lru_map.h
@@ -1,5 +1,5 @@
-#ifndef DECISION_AGING_MAP_H_
-#define DECISION_AGING_MAP_H_
+#ifndef DECISION_EXPIRING_LRU_MAP_H_
+#define DECISION_EXPIRING_LRU_MAP_H_
 
 #include <cstddef>
 #include <list>
@@ -10,32 +10,33 @@
 
 namespace samphire {
 
-// A map that forgets entries untouched for `lifetime`, and the longest
-// untouched ones when it is full.
+// A hash map with a bounded number of entries: it evicts entries that were not
+// touched for `lifetime`, and the least recently touched entry when it exceeds
+// `capacity`. Not thread-safe.
 template <typename K, typename V>
-class aging_map {
+class expiring_lru_map {
  public:
-  aging_map(std::size_t capacity, duration lifetime)
+  expiring_lru_map(std::size_t capacity, duration lifetime)
       : capacity_(capacity), lifetime_(lifetime) {}
 
-  // The entry of `key`, or null; not a touch.
+  // Returns the value of `key`, or null. Doesn't count as a touch.
   V* Find(const K& key, time_point now) {
-    Forget(now);
+    EvictExpired(now);
     const auto found = entries_.find(key);
     return found == entries_.end() ? nullptr : &found->second.value;
   }
 
-  // The entry of `key`, made if need be, as the last touched. `added` tells
-  // whether it is new.
+  // Returns the value of `key`, adding it if it is absent, and makes it the
+  // most recently touched. `added` is set to whether it is new.
   V& Touch(const K& key, time_point now, bool* added = nullptr) {
-    Forget(now);
+    EvictExpired(now);
     const auto [found, is_new] = entries_.try_emplace(key);
     if (!is_new)
       by_age_.erase(found->second.age);
     found->second.age = by_age_.insert(by_age_.end(), key);
     found->second.touched = now;
     if (entries_.size() > capacity_)
-      DropOldest();
+      EvictOldest();
     if (added != nullptr)
       *added = is_new;
     return found->second.value;
@@ -49,10 +50,12 @@
     entries_.erase(found);
   }
 
-  void Forget(time_point now) {
+  // Evicts the entries that were last touched more than `lifetime` before
+  // `now`.
+  void EvictExpired(time_point now) {
     while (!by_age_.empty() &&
            now - entries_.at(by_age_.front()).touched > lifetime_)
-      DropOldest();
+      EvictOldest();
   }
 
   std::size_t size() const { return entries_.size(); }
@@ -64,7 +67,7 @@
     typename std::list<K>::iterator age;
   };
 
-  void DropOldest() {
+  void EvictOldest() {
     entries_.erase(by_age_.front());
     by_age_.pop_front();
   }
@@ -72,9 +75,10 @@
   std::size_t capacity_;
   duration lifetime_;
   std::unordered_map<K, entry> entries_;
+  // Keys in the order of their last touch, the oldest first.
   std::list<K> by_age_;
 };
 
 }  // namespace samphire
 
-#endif  // DECISION_AGING_MAP_H_
+#endif  // DECISION_EXPIRING_LRU_MAP_H_
--- a/src/libsamphire/decision/lent_slot.h
+++ b/src/libsamphire/decision/lent_slot.h
@@ -5,7 +5,7 @@
 
 namespace samphire {
 
-// One slot taken out of this entry's share, to be lent.
+// One slot that was removed from this entry's owned slots in order to be lent.
 struct lent_slot {
   std::string target;
 };
--- a/src/libsamphire/decision/loan_set.cc
+++ b/src/libsamphire/decision/loan_set.cc
@@ -4,7 +4,7 @@
 
 namespace samphire {
 
-void loan_set::Add(const held_loan& loan) {
+void loan_set::Add(const borrowed_loan& loan) {
   loans_.push_back({loan, false});
 }
 
@@ -25,8 +25,8 @@
                                                 duration longest,
                                                 time_point now) const {
   for (const auto& candidate : loans_) {
-    // The lender takes the slot back after the longest work that was agreed;
-    // longer work would still run when the slot has its next user.
+    // The lender takes the slot back after the longest work time that was
+    // agreed; longer work would still run when the slot has its next user.
     if (!candidate.busy && candidate.loan.target == target &&
         candidate.loan.usable_until > now &&
         longest <= candidate.loan.longest_work)
--- a/src/libsamphire/decision/owned_slots.h
+++ b/src/libsamphire/decision/owned_slots.h
@@ -6,7 +6,7 @@
 
 namespace samphire {
 
-// How many slots of a target this entry owns by its seats.
+// How many slots of a target this entry owns through its slot partitions.
 struct owned_slots {
   std::string target;
   std::uint32_t count = 0;
--- a/src/libsamphire/decision/queue_order.h
+++ b/src/libsamphire/decision/queue_order.h
@@ -5,7 +5,8 @@
 
 namespace samphire {
 
-// Who is served first among waiters of one kind and priority.
+// The order in which waiting requests of one kind and priority are served: by
+// arrival or by deadline, earliest first.
 enum class queue_order { kArrival, kDeadline };
 
 inline constexpr enum_names<queue_order, 2> kQueueOrderNames{{
--- a/src/libsamphire/decision/queued.h
+++ b/src/libsamphire/decision/queued.h
@@ -7,10 +7,11 @@
 
 namespace samphire {
 
-// A request that waits; its fate comes as a wakeup.
+// Decision to queue a request; its result follows later as a wakeup.
 struct queued {
-  // How many waiters are served before it, as things stand.
+  // How many waiting requests are currently served before it.
   std::size_t position = 0;
+  // Estimated time until it gets a slot.
   duration expected_wait{0};
 };
 
--- a/src/libsamphire/decision/refusal.h
+++ b/src/libsamphire/decision/refusal.h
@@ -6,7 +6,7 @@
 
 namespace samphire {
 
-// A request that is not run, and when to come back.
+// Decision not to run a request, and after what time the caller may retry.
 struct refusal {
   result_code reason = result_code::kOk;
   milliseconds retry_after{0};
--- a/src/libsamphire/decision/refusal_count.h
+++ b/src/libsamphire/decision/refusal_count.h
@@ -7,7 +7,8 @@
 
 namespace samphire {
 
-// How many requests were refused for one reason.
+// How many requests a dispatcher has refused for one reason since it was
+// created.
 struct refusal_count {
   result_code reason = result_code::kOk;
   std::uint64_t count = 0;
--- a/src/libsamphire/decision/request_fingerprint.cc
+++ b/src/libsamphire/decision/request_fingerprint.cc
@@ -9,8 +9,7 @@
 
 namespace {
 
-// Each part is preceded by its length, so that "a" + "bc" differs from
-// "ab" + "c".
+// Puts the length before each part, so that "a" + "bc" differs from "ab" + "c".
 void Append(std::string& key, std::string_view part) {
   key += std::to_string(part.size());
   key += ':';
--- a/src/libsamphire/decision/retry_budget.cc
+++ b/src/libsamphire/decision/retry_budget.cc
@@ -7,16 +7,17 @@
 
 namespace {
 
-// Made for the moment in which every target fails or sheds: each retry is then
-// further load on what is already too much, and callers who retry as well
-// multiply it. Bound to a share of first attempts, the load that this entry
-// adds stays that share, whatever fails.
+// Protects against the situation in which every target fails or sheds load:
+// each retry then adds load to an overloaded service, and callers that retry as
+// well multiply it. With retries limited to a share of first attempts, the load
+// that this entry adds stays within that share, whatever fails.
 //
-// Saved tokens are for one target that dies under load, about its slots over a
-// few entries; more would be a burst of their own.
+// Saved tokens cover the loss of one target under load, which is about its
+// slots spread over a few entries; more would be a burst of retries of its own.
 constexpr double kMaxTokens = 10;
-// At a handful of requests a minute the share alone would never allow one.
-constexpr double kTricklePerSecond = 0.1;
+// Without this, a service with a handful of requests a minute would never
+// collect a token from the share alone.
+constexpr double kMinRetriesPerSecond = 0.1;
 
 }  // namespace
 
@@ -36,15 +37,15 @@
 }
 
 void retry_budget::Refill(time_point now) {
-  // A new entry may retry once at once: it has no first attempts to show yet.
-  if (refilled_ == time_point{}) {
+  // A new entry may retry once immediately: it has seen no first attempts yet.
+  if (last_refill_ == time_point{}) {
     tokens_ = 1;
   } else {
-    const std::chrono::duration<double> passed = now - refilled_;
+    const std::chrono::duration<double> passed = now - last_refill_;
     tokens_ = std::min(kMaxTokens, tokens_ + std::max(0.0, passed.count()) *
-                                                 kTricklePerSecond);
+                                                 kMinRetriesPerSecond);
   }
-  refilled_ = now;
+  last_refill_ = now;
 }
 
 }  // namespace samphire
--- a/src/libsamphire/decision/retry_budget.h
+++ b/src/libsamphire/decision/retry_budget.h
@@ -7,14 +7,18 @@
 
 namespace samphire {
 
-// Bounds retries to a share of the first attempts, plus a trickle.
+// Token bucket that limits retries to a percentage of the first attempts, plus
+// a small constant rate. Not thread-safe.
 class retry_budget {
  public:
+  // `percent` is the number of retries allowed per 100 first attempts.
   explicit retry_budget(std::uint32_t percent) : percent_(percent) {}
 
   void SetPercent(std::uint32_t percent) { percent_ = percent; }
+  // Adds the share of a token that one first attempt earns.
   void OnFirstAttempt(time_point now);
-  // Whether a retry is within the budget; the retry must then Spend.
+  // Returns whether a retry is within the budget; the caller must then call
+  // Spend for the retry.
   bool Allows(time_point now);
   void Spend(time_point now);
 
@@ -23,7 +27,7 @@
 
   std::uint32_t percent_;
   double tokens_ = 0;
-  time_point refilled_;
+  time_point last_refill_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/decision/retry_policy.cc
+++ b/src/libsamphire/decision/retry_policy.cc
@@ -4,9 +4,9 @@
 
 namespace {
 
-// What all attempts together prove: one that may have run can't be made unrun
-// by a later one that was refused.
-run_state RunOfAll(const attempt_summary& attempt) {
+// Returns what all attempts together prove: if an earlier attempt may have run,
+// a later one that was refused doesn't change that.
+run_state CombinedRunState(const attempt_summary& attempt) {
   const run_state last = RunStateOf(attempt.outcome);
   if (last == run_state::kNotRun && attempt.may_have_run)
     return run_state::kUnknown;
@@ -16,14 +16,15 @@
 bool MayRunAgain(const attempt_summary& attempt) {
   if (attempt.repeatable)
     return true;
-  // A gate acknowledgement is tried again only on proof that it did not run.
-  return RunOfAll(attempt) == run_state::kNotRun;
+  // A request that must not run twice, such as a gate acknowledgement, is
+  // retried only on proof that it did not run.
+  return CombinedRunState(attempt) == run_state::kNotRun;
 }
 
-bool IsWorthRetrying(attempt_outcome outcome) {
+bool IsRetryable(attempt_outcome outcome) {
   return outcome != attempt_outcome::kOk &&
          outcome != attempt_outcome::kCancelled &&
-         // Timed out means that the request's own time is over.
+         // A time-out means that the request's own time is over.
          outcome != attempt_outcome::kTimedOut;
 }
 
@@ -32,8 +33,8 @@
 result_code CodeOf(attempt_outcome outcome) {
   switch (outcome) {
     case attempt_outcome::kOk:
-    // The target's own answer is passed on as it is, also when it tells of an
-    // error: only the target can say what it means.
+    // The target's own response is passed on unchanged, also when it reports an
+    // error: only the target knows what it means.
     case attempt_outcome::kTargetError:
       return result_code::kOk;
     case attempt_outcome::kTargetShed:
@@ -52,22 +53,24 @@
   return result_code::kTargetFailed;
 }
 
-// Made for single targets that fail, shed or vanish. The bounds keep a fault of
-// many targets from becoming a storm: attempts, budget, and the time left,
-// since an attempt that can't end in time only takes a slot from one that can.
+// Handles single targets that fail, shed load or disappear. Three bounds
+// prevent a retry storm when many targets fail: the number of attempts, the
+// retry budget, and the time left, since an attempt that can't end before the
+// deadline only takes a slot from one that can.
 retry_decision DecideRetry(const attempt_summary& attempt, time_point now) {
   const result_code code = CodeOf(attempt.outcome);
-  const final_result give_up{code, RunOfAll(attempt)};
-  if (!IsWorthRetrying(attempt.outcome) || !MayRunAgain(attempt) ||
+  const final_result final_answer{code, CombinedRunState(attempt)};
+  if (!IsRetryable(attempt.outcome) || !MayRunAgain(attempt) ||
       attempt.attempts >= attempt.max_attempts)
-    return give_up;
+    return final_answer;
   if (now + attempt.expected_service >= attempt.deadline)
-    return give_up;
+    return final_answer;
   if (!attempt.budget_allows) {
-    // An answer that the target gave is better than word of a budget.
+    // The error response that the target gave is more useful to the caller than
+    // the information that the retry budget is spent.
     if (attempt.outcome == attempt_outcome::kTargetError)
-      return give_up;
-    return final_result{result_code::kRetryBudgetSpent, give_up.run};
+      return final_answer;
+    return final_result{result_code::kRetryBudgetSpent, final_answer.run};
   }
   return retry_elsewhere{attempt.outcome == attempt_outcome::kTargetError
                              ? result_code::kTargetFailed
--- a/src/libsamphire/decision/retry_policy.h
+++ b/src/libsamphire/decision/retry_policy.h
@@ -6,10 +6,12 @@
 
 namespace samphire {
 
-// The code under which an attempt that ended so is told and counted.
+// Returns the result code under which an attempt with this outcome is reported
+// and counted.
 result_code CodeOf(attempt_outcome outcome);
 
-// Whether a request whose attempt has ended is tried again.
+// Decides whether a request whose attempt has ended at `now` is attempted
+// again.
 retry_decision DecideRetry(const attempt_summary& attempt, time_point now);
 
 }  // namespace samphire
--- a/src/libsamphire/decision/run_state.h
+++ b/src/libsamphire/decision/run_state.h
@@ -15,8 +15,9 @@
     {run_state::kRan, "ran"},
 }};
 
-// What the end of one attempt proves. Only a refusal by the target itself or
-// a connection that never stood proves that nothing ran.
+// Returns what the outcome of one attempt proves. Only a refusal by the target
+// itself, or a connection that was never established, proves that the request
+// did not run.
 constexpr run_state RunStateOf(attempt_outcome outcome) {
   switch (outcome) {
     case attempt_outcome::kTargetShed:
--- a/src/libsamphire/decision/service_dispatcher.cc
+++ b/src/libsamphire/decision/service_dispatcher.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr duration kPriorService = std::chrono::milliseconds(20);
+// Service time assumed for a class until the first measurement.
+constexpr duration kInitialServiceTime = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -34,7 +35,8 @@
       shifts_(std::move(shifts)),
       bulk_(bounds.bulk_percent),
       queue_(order),
-      kind_service_{service_time(kPriorService), service_time(kPriorService)} {
+      service_time_by_kind_{service_time(kInitialServiceTime),
+                            service_time(kInitialServiceTime)} {
   for (const auto& rules : declared.classes)
     LoadOf(rules);
 }
@@ -49,8 +51,8 @@
   pool_.SetTargets(declared, now);
   for (const auto& rules : declared.classes) {
     auto& load = LoadOf(rules);
-    // The lists of the queue go by kind and priority, so these change only
-    // once nobody of the class waits.
+    // The lists of the queue are indexed by kind and priority, so these may
+    // change only when no request of the class is waiting.
     if (load.queued == 0)
       load.rules = rules;
     load.rules.queue_limit = rules.queue_limit;
@@ -89,13 +91,13 @@
   if (const auto refused = RefuseAtOnce(request, load, now))
     return *refused;
   shifts_->OnArrival(request.home_region, now);
-  // A slot that is free while requests wait is one that they can't use, so a
-  // newcomer that can passes nobody.
-  if (shifts_->room(request.home_region, now) > 0 &&
-      !LeavesSlotToPeer(request.arrived, now)) {
+  // If a slot is free although requests wait, they can't use it, so a new
+  // request that can use it overtakes nobody.
+  if (shifts_->free_capacity(request.home_region, now) > 0 &&
+      !YieldsSlotToPeer(request.arrived, now)) {
     if (auto grant = TryStart(request, load, now)) {
       if (kind == request_kind::kInteractive)
-        NoteInteractiveStart(load.rules.priority, duration::zero(), now);
+        RecordInteractiveStart(load.rules.priority, duration::zero(), now);
       return std::move(*grant);
     }
   }
@@ -107,7 +109,7 @@
 class_load& service_dispatcher::LoadOf(const request_class& rules) {
   auto& load = loads_[rules.name];
   if (load == nullptr)
-    load = std::make_unique<class_load>(rules, kPriorService);
+    load = std::make_unique<class_load>(rules, kInitialServiceTime);
   return *load;
 }
 
@@ -116,17 +118,17 @@
     class_load& load,
     time_point now) {
   const bool bulk = load.rules.kind == request_kind::kBulk;
-  if (bulk && !BulkMayStart(now) && !(BulkIsStarved(now) && bulk_running_ == 0))
+  if (bulk && !BulkMayStart(now) && !(IsBulkStarved(now) && bulk_running_ == 0))
     return std::nullopt;
-  placing_wish wish;
-  wish.avoid_failure_domains = &request.avoid_failure_domains;
-  wish.may_probe = load.rules.repeatable && !request.isolate;
-  wish.isolate = request.isolate;
-  wish.may_borrow = !bulk;
-  wish.longest = request.deadline - now;
+  placement_constraints constraints;
+  constraints.avoid_failure_domains = &request.avoid_failure_domains;
+  constraints.may_probe = load.rules.repeatable && !request.isolate;
+  constraints.isolate = request.isolate;
+  constraints.may_borrow = !bulk;
+  constraints.longest = request.deadline - now;
   if (!shifts_->TryStart(request.home_region, now))
     return std::nullopt;
-  const auto place = pool_.Place(wish, now);
+  const auto place = pool_.Place(constraints, now);
   if (!place) {
     shifts_->Release(request.home_region, now);
     return std::nullopt;
@@ -153,7 +155,7 @@
     ++bulk_running_;
   else
     ++interactive_running_;
-  NoteInteractiveLoad(now);
+  RecordInteractiveLoad(now);
   return grant;
 }
 
@@ -168,10 +170,10 @@
   entry->latest_start = request.deadline - NeededTime(load, whole);
   const auto& rules = load.rules;
   const queued answer{
-      queue_.InLane(request.home_region, rules.kind, rules.priority),
+      queue_.CountInLane(request.home_region, rules.kind, rules.priority),
       ExpectedWait(rules.kind, rules.priority, request.home_region, now)};
   queue_.Add(std::move(entry));
-  NoteInteractiveLoad(now);
+  RecordInteractiveLoad(now);
   return answer;
 }
 
@@ -188,8 +190,8 @@
   --(kind == request_kind::kBulk ? bulk_running_ : interactive_running_);
   shifts_->Release(work.home_region, now);
   double slowness = 0;
-  // An attempt that timed out took at least as long; one that failed at once
-  // tells nothing of speed.
+  // An attempt that timed out took at least that long; one that failed
+  // immediately says nothing about speed.
   const bool timed =
       outcome == attempt_outcome::kOk || outcome == attempt_outcome::kTimedOut;
   if (timed && work.load->service.measured()) {
@@ -200,10 +202,10 @@
   if (outcome == attempt_outcome::kOk) {
     work.load->service.Add(latency);
     work.load->measured_at = now;
-    kind_service_[IndexOf(kind)].Add(latency);
+    service_time_by_kind_[IndexOf(kind)].Add(latency);
   }
   pool_.Release(work.place, outcome, slowness, now);
-  NoteInteractiveLoad(now);
+  RecordInteractiveLoad(now);
   return Serve(now);
 }
 
@@ -212,7 +214,7 @@
   const auto entry = queue_.Remove(request_id);
   if (entry == nullptr)
     return {};
-  NoteInteractiveLoad(now);
+  RecordInteractiveLoad(now);
   return {true, Serve(now)};
 }
 
--- a/src/libsamphire/decision/service_dispatcher_seats.cc
+++ b/src/libsamphire/decision/service_dispatcher_draining.cc
@@ -4,14 +4,14 @@
 
 namespace samphire {
 
-// A seat that is handed over takes its slots along at once, but the work that
-// runs on them goes on. Until it has ended, the next owner must not start its
-// own there, or the target would hold more than its slots; the sum over the
-// targets says how much is still to end.
-std::uint32_t service_dispatcher::over_owned() const {
+// A slot partition that is handed over takes its slots with it immediately, but
+// the work running on them continues. Until that has ended, the next owner must
+// not start its own work there, or the target would run more than its slots;
+// the sum over the targets is the amount of work still to end.
+std::uint32_t service_dispatcher::excess_slots() const {
   std::uint32_t over = 0;
   for (const auto& each : pool_.all()) {
-    const auto used = each.own_running + each.lent;
+    const auto used = each.running_on_owned + each.lent;
     over += used - std::min(used, each.owned);
   }
   return over;
--- a/src/libsamphire/decision/service_dispatcher_loans.cc
+++ b/src/libsamphire/decision/service_dispatcher_loans.cc
@@ -1,4 +1,4 @@
-// The loans of the dispatcher and what it shows of itself.
+// Loans and status of the dispatcher.
 
 #include <algorithm>
 
@@ -8,39 +8,40 @@
 
 namespace {
 
-// Slots asked for at a time. A round trip is short against the work, so the
-// next ones are asked for as these come; more would hold peers' slots for
-// waiters that own slots serve first.
-constexpr std::size_t kMostWished = 8;
+// Number of slots requested at a time. A round trip is short compared with the
+// work, so more slots are requested when these arrive; a larger number would
+// occupy peers' slots for waiting requests that owned slots serve first.
+constexpr std::size_t kMaxRequestedSlots = 8;
 
 }  // namespace
 
-std::optional<loan_wish> service_dispatcher::WantsLoan(time_point now) const {
-  loan_wish wish;
-  std::map<std::string, std::size_t> room;
+std::optional<loan_demand> service_dispatcher::LoanDemand(
+    time_point now) const {
+  loan_demand demand;
+  std::map<std::string, std::size_t> free_capacity;
   queue_.Find(request_kind::kInteractive, [&](const waiter& entry) {
     const auto& home = entry.request.home_region;
-    const auto [left, added] = room.try_emplace(home, 0);
+    const auto [left, added] = free_capacity.try_emplace(home, 0);
     if (added)
-      left->second = shifts_->room(home, now);
-    // A slot is no help to a waiter that a shift cap holds up.
+      left->second = shifts_->free_capacity(home, now);
+    // Another slot doesn't help a request that is held back by a shift cap.
     if (left->second > 0) {
       --left->second;
-      wish.waits.push_back(now - entry.request.arrived);
+      demand.waits.push_back(now - entry.request.arrived);
     }
-    return wish.waits.size() >= kMostWished;
+    return demand.waits.size() >= kMaxRequestedSlots;
   });
-  if (wish.waits.empty())
+  if (demand.waits.empty())
     return std::nullopt;
   for (const auto& [name, load] : loads_) {
     if (load->rules.kind == request_kind::kInteractive)
-      wish.longest_work =
-          std::max<duration>(wish.longest_work, load->rules.max_deadline);
+      demand.longest_work =
+          std::max<duration>(demand.longest_work, load->rules.max_deadline);
   }
-  return wish;
+  return demand;
 }
 
-std::vector<wakeup> service_dispatcher::AddLoan(const held_loan& loan,
+std::vector<wakeup> service_dispatcher::AddLoan(const borrowed_loan& loan,
                                                 time_point now) {
   pool_.loans().Add(loan);
   return Serve(now);
@@ -51,13 +52,13 @@
   pool_.loans().Renew(loan_id, usable_until);
 }
 
-bool service_dispatcher::HoldsLoan(std::uint64_t loan_id) const {
+bool service_dispatcher::HasLoan(std::uint64_t loan_id) const {
   return pool_.loans().Contains(loan_id);
 }
 
-std::vector<std::uint64_t> service_dispatcher::TakeIdleLoans(time_point now) {
-  const bool unused = !HasStartable(now);
-  return pool_.loans().TakeIdle(now, [&](const held_loan& loan) {
+std::vector<std::uint64_t> service_dispatcher::RemoveIdleLoans(time_point now) {
+  const bool unused = !HasStartableRequest(now);
+  return pool_.loans().RemoveIdle(now, [&](const borrowed_loan& loan) {
     return unused || !pool_.IsOpen(loan.target);
   });
 }
@@ -68,14 +69,14 @@
 
 std::vector<wakeup> service_dispatcher::LoanReturned(const std::string& target,
                                                      time_point now) {
-  pool_.Restore(target);
+  pool_.RestoreLentSlot(target);
   return Serve(now);
 }
 
-std::vector<wakeup> service_dispatcher::SetOldestAsk(
+std::vector<wakeup> service_dispatcher::SetOldestLoanRequest(
     std::optional<time_point> oldest,
     time_point now) {
-  oldest_ask_ = oldest;
+  oldest_loan_request_ = oldest;
   return Serve(now);
 }
 
--- a/src/libsamphire/decision/service_dispatcher_queue.cc
+++ b/src/libsamphire/decision/service_dispatcher_queue.cc
@@ -12,28 +12,30 @@
 
 using std::chrono::milliseconds;
 
-// Of two waiters at different entries, a slot moves to the longer waiting only
-// if it has waited this much longer: the move itself costs a round trip in
-// which the slot stands idle.
-constexpr duration kMoveMargin = milliseconds(5);
-constexpr duration kLeastRampWait = milliseconds(1);
+// Of two requests waiting at different entries, a slot moves to the one that
+// has waited longer only if it has waited this much longer: moving the slot
+// costs a round trip during which it is idle.
+constexpr duration kLoanRequestMargin = milliseconds(5);
+// Shortest time between ticks for the ramp of a shift cap.
+constexpr duration kMinRampWait = milliseconds(1);
 
 }  // namespace
 
-void service_dispatcher::NoteInteractiveLoad(time_point now) {
+void service_dispatcher::RecordInteractiveLoad(time_point now) {
   const auto waiting = queue_.size(request_kind::kInteractive);
   bulk_.OnInteractiveLoad(
       interactive_running_ + static_cast<std::uint32_t>(waiting), now);
 }
 
 bool service_dispatcher::BulkMayStart(time_point now) const {
-  return !HasStartable(now) &&
+  return !HasStartableRequest(now) &&
          bulk_running_ < bulk_.allowed(pool_.UsableSlots(now));
 }
 
-// Interactive work may use every slot for hours of rain; bulk work then gets
-// one slot after a part of its time, so that an archive still arrives.
-bool service_dispatcher::BulkIsStarved(time_point now) const {
+// When it rains, interactive work may use every slot for hours; bulk work then
+// gets one slot after a part of its time has passed, so that an archive still
+// arrives in time.
+bool service_dispatcher::IsBulkStarved(time_point now) const {
   if (bulk_running_ > 0)
     return false;
   const auto* first = queue_.oldest(request_kind::kBulk);
@@ -41,22 +43,24 @@
     return false;
   const auto whole = first->request.deadline - first->request.arrived;
   return now - first->request.arrived >=
-         bulk_.patience(pool_.UsableSlots(now), whole);
+         bulk_.starvation_limit(pool_.UsableSlots(now), whole);
 }
 
-// Callers are promised the same wait at each entry of the region, so the next
-// slot goes to whoever has waited longest, here or at a peer. Only a slot that
-// can be lent is left: one of a target that is warming up stays here.
-bool service_dispatcher::LeavesSlotToPeer(time_point arrived,
+// Callers are promised the same wait at every entry of the region, so the next
+// slot goes to the request that has waited longest, here or at a peer. Only a
+// slot that can be lent is left to the peer: a slot of a target that is warming
+// up stays here.
+bool service_dispatcher::YieldsSlotToPeer(time_point arrived,
                                           time_point now) const {
-  return oldest_ask_ && *oldest_ask_ + kMoveMargin < arrived &&
+  return oldest_loan_request_ &&
+         *oldest_loan_request_ + kLoanRequestMargin < arrived &&
          pool_.CanLend(now);
 }
 
 std::vector<wakeup> service_dispatcher::Serve(time_point now) {
   std::vector<wakeup> wakeups;
   Expire(now, wakeups);
-  if (BulkIsStarved(now))
+  if (IsBulkStarved(now))
     ServeOne(request_kind::kBulk, now, wakeups);
   while (ServeOne(request_kind::kInteractive, now, wakeups)) {
   }
@@ -67,18 +71,18 @@
 
 void service_dispatcher::Expire(time_point now, std::vector<wakeup>& wakeups) {
   while (const auto entry = queue_.RemoveExpired(now))
-    wakeups.push_back(TellExpired(*entry, now));
+    wakeups.push_back(RefuseExpired(*entry, now));
 }
 
-wakeup service_dispatcher::TellExpired(const waiter& entry, time_point now) {
+wakeup service_dispatcher::RefuseExpired(const waiter& entry, time_point now) {
   const auto& rules = entry.load->rules;
   const auto wait =
       ExpectedWait(rules.kind, rules.priority, entry.request.home_region, now);
   return {entry.request.id, Refuse(result_code::kQueueExpired, wait)};
 }
 
-// The latest start was set when the request came; what its class is known to
-// need may have grown since.
+// The latest start was computed when the request arrived; the time that its
+// class is known to need may have increased since.
 bool service_dispatcher::IsTooLate(const waiter& entry, time_point now) const {
   const auto whole = entry.request.deadline - entry.request.arrived;
   return now + NeededTime(*entry.load, whole) > entry.request.deadline;
@@ -96,9 +100,9 @@
       too_late.push_back(entry.request.id);
       return false;
     }
-    if (shifts_->room(entry.request.home_region, now) == 0 ||
+    if (shifts_->free_capacity(entry.request.home_region, now) == 0 ||
         (kind == request_kind::kInteractive &&
-         LeavesSlotToPeer(entry.request.arrived, now)))
+         YieldsSlotToPeer(entry.request.arrived, now)))
       return false;
     grant = TryStart(entry.request, *entry.load, now);
     return grant.has_value();
@@ -110,29 +114,30 @@
   if (served != nullptr)
     queue_.Remove(grant->request_id);
   for (const auto id : too_late)
-    wakeups.push_back(TellExpired(*queue_.Remove(id), now));
-  // With the hopeless gone, those behind them have their turn.
+    wakeups.push_back(RefuseExpired(*queue_.Remove(id), now));
+  // With the expired requests removed, those behind them can be served.
   if (served == nullptr)
     return !too_late.empty();
   if (kind == request_kind::kInteractive)
-    NoteInteractiveStart(rank, waited, now);
+    RecordInteractiveStart(rank, waited, now);
   wakeups.push_back({grant->request_id, std::move(*grant)});
   return true;
 }
 
-void service_dispatcher::NoteInteractiveStart(priority rank,
-                                              duration waited,
-                                              time_point now) {
-  const auto mean = kind_service_[IndexOf(request_kind::kInteractive)].mean();
+void service_dispatcher::RecordInteractiveStart(priority rank,
+                                                duration waited,
+                                                time_point now) {
+  const auto mean =
+      service_time_by_kind_[IndexOf(request_kind::kInteractive)].mean();
   shedder_.OnStart(rank, waited, mean, now);
-  interactive_gap_.OnStart(HasStartable(now), now);
-  NoteInteractiveLoad(now);
+  interactive_start_interval_.OnStart(HasStartableRequest(now), now);
+  RecordInteractiveLoad(now);
 }
 
-// Whether an interactive request waits for nothing but a slot.
-bool service_dispatcher::HasStartable(time_point now) const {
+// Returns whether an interactive request waits for nothing but a slot.
+bool service_dispatcher::HasStartableRequest(time_point now) const {
   return queue_.Find(request_kind::kInteractive, [&](const waiter& entry) {
-    return shifts_->room(entry.request.home_region, now) > 0;
+    return shifts_->free_capacity(entry.request.home_region, now) > 0;
   }) != nullptr;
 }
 
@@ -147,8 +152,9 @@
   if (const auto change = pool_.NextChange(now))
     next = std::min(next, *change);
   for (const auto& lane : queue_.lanes()) {
-    if (const auto ramp = shifts_->UntilRamp(lane->home_region, now))
-      next = std::min(next, now + std::max(*ramp, kLeastRampWait));
+    if (const auto ramp =
+            shifts_->TimeUntilFreeCapacity(lane->home_region, now))
+      next = std::min(next, now + std::max(*ramp, kMinRampWait));
   }
   return std::max(next, now);
 }
--- a/src/libsamphire/decision/service_time.cc
+++ b/src/libsamphire/decision/service_time.cc
@@ -7,13 +7,14 @@
 
 namespace {
 
-// The mean follows the last fifty samples or so: long enough to ride over one
-// long request, short enough to follow a cold cache within a second of load.
-constexpr double kMeanWeight = 0.02;
-// The tail falls by half in about 3,500 samples. With one in 350, a class of
-// which one request in twenty takes four times as long forgot its longest work
-// between two of them, and one admitted request in fifty came late under
-// three times the load.
+// The mean follows roughly the last fifty samples: long enough to smooth out
+// one long request, short enough to follow a cold cache within a second of
+// load.
+constexpr double kMinMeanWeight = 0.02;
+// The tail falls by half in about 3,500 samples. With a decay by half in 350
+// samples, a class of which one request in twenty takes four times as long lost
+// the estimate of its longest work between two such requests, and one admitted
+// request in fifty missed its deadline under three times the load.
 constexpr double kTailDecay = 0.9998;
 
 duration Blend(duration from, duration to, double weight) {
@@ -24,9 +25,10 @@
 
 void service_time::Add(duration sample) {
   ++samples_;
-  // The first samples are a plain average: the prior is only a guess.
+  // The first samples are averaged with equal weights: the prior is only a
+  // guess.
   const double weight =
-      std::max(kMeanWeight, 1.0 / static_cast<double>(samples_));
+      std::max(kMinMeanWeight, 1.0 / static_cast<double>(samples_));
   mean_ = Blend(mean_, sample, weight);
   tail_ = samples_ == 1 ? sample : Blend(mean_, tail_, kTailDecay);
   tail_ = std::max(tail_, sample);
--- a/src/libsamphire/decision/service_time.h
+++ b/src/libsamphire/decision/service_time.h
@@ -7,17 +7,21 @@
 
 namespace samphire {
 
-// Running estimate of how long a stream of work takes.
+// Running estimate of the service time of a stream of requests. Not
+// thread-safe.
 class service_time {
  public:
-  // `prior` stands until the first sample.
+  // `prior` is used until the first sample.
   explicit service_time(duration prior) : mean_(prior), tail_(prior) {}
 
   void Add(duration sample);
 
+  // Exponentially weighted mean.
   duration mean() const { return mean_; }
-  // About the longest of the last few hundred samples.
+  // Estimate of the longest service time: about the longest of the last few
+  // hundred samples.
   duration tail() const { return tail_; }
+  // Whether there has been any sample.
   bool measured() const { return samples_ > 0; }
 
  private:
--- a/src/libsamphire/decision/shift_account.cc
+++ b/src/libsamphire/decision/shift_account.cc
@@ -13,13 +13,14 @@
   budget_.OnArrival(home_region, now);
 }
 
-// Made for a region that is lost while several services move at once. With a
-// budget for each service a cap of 16 let through 16 of every service; with
-// the look and the taking apart, two services could both take the last unit.
-// Either shows as more work from one region than the operators declared.
+// Checks and takes one unit under a single lock, for all services together.
+// With a budget per service, a cap of 16 admitted 16 requests of every service
+// when a region was lost and several services shifted at once; with check and
+// take as separate steps, two services could both take the last unit. Either
+// shows as more work from one region than the operators declared.
 bool shift_account::TryStart(const std::string& home_region, time_point now) {
   std::lock_guard guard(lock_);
-  if (budget_.room(home_region, now) == 0)
+  if (budget_.free_capacity(home_region, now) == 0)
     return false;
   budget_.Start(home_region, now);
   return true;
@@ -30,10 +31,10 @@
   budget_.Release(home_region, now);
 }
 
-std::uint32_t shift_account::room(const std::string& home_region,
-                                  time_point now) const {
+std::uint32_t shift_account::free_capacity(const std::string& home_region,
+                                           time_point now) const {
   std::lock_guard guard(lock_);
-  return budget_.room(home_region, now);
+  return budget_.free_capacity(home_region, now);
 }
 
 std::uint32_t shift_account::limit(const std::string& home_region,
@@ -42,10 +43,11 @@
   return budget_.limit(home_region, now);
 }
 
-std::optional<duration> shift_account::UntilRamp(const std::string& home_region,
-                                                 time_point now) const {
+std::optional<duration> shift_account::TimeUntilFreeCapacity(
+    const std::string& home_region,
+    time_point now) const {
   std::lock_guard guard(lock_);
-  return budget_.UntilRamp(home_region, now);
+  return budget_.TimeUntilFreeCapacity(home_region, now);
 }
 
 bool shift_account::IsOverLimit(time_point now) const {
--- a/src/libsamphire/decision/shift_account.h
+++ b/src/libsamphire/decision/shift_account.h
@@ -15,8 +15,8 @@
 
 namespace samphire {
 
-// The shift budget of one entry, shared by the dispatchers of its services and
-// safe to use from several threads: a cap holds for all services together.
+// The shift budget of one entry, shared by the dispatchers of its services: a
+// cap applies to all services together. Thread-safe.
 class shift_account
     : public boost::intrusive_ref_counter<shift_account,
                                           boost::thread_safe_counter> {
@@ -26,17 +26,20 @@
 
   void SetCaps(const std::vector<shift_cap>& caps, const shift_share& share);
   void OnArrival(const std::string& home_region, time_point now);
-  // Takes one unit, if there is room for it.
+  // Takes one unit if there is free capacity, and returns whether it did.
   bool TryStart(const std::string& home_region, time_point now);
+  // Returns a unit that TryStart has taken.
   void Release(const std::string& home_region, time_point now);
 
-  // See shift_budget. What these return may be out of date at once.
-  std::uint32_t room(const std::string& home_region, time_point now) const;
+  // See shift_budget. The returned values may be outdated as soon as the call
+  // returns.
+  std::uint32_t free_capacity(const std::string& home_region,
+                              time_point now) const;
   std::uint32_t limit(const std::string& home_region, time_point now) const;
-  std::optional<duration> UntilRamp(const std::string& home_region,
-                                    time_point now) const;
-  // Whether more is in flight than the present share allows, since a seat was
-  // given up meanwhile.
+  std::optional<duration> TimeUntilFreeCapacity(const std::string& home_region,
+                                                time_point now) const;
+  // Returns whether more is in flight than the present share allows, because a
+  // slot partition was released in the meantime.
   bool IsOverLimit(time_point now) const;
   std::vector<shift_status> status(time_point now) const;
 
--- a/src/libsamphire/decision/shift_budget.cc
+++ b/src/libsamphire/decision/shift_budget.cc
@@ -11,13 +11,14 @@
 
 namespace {
 
-// A shift that has sent nothing for this long is over, and the next one starts
-// at the initial bound: the caches it had warmed are being pushed out again.
+// A shift without any request for this long has ended, and the next one starts
+// at the initial bound, since the caches that it had warmed are being evicted.
 constexpr duration kQuietTime = std::chrono::seconds(30);
-// Made for a region that is lost or drained: its whole load turns up elsewhere
-// within seconds and meets cold caches, where each request takes several times
-// as long. The bound on work in flight is what the destination's operators say
-// it can take; the ramp gives caches time to fill.
+// Protects against the load of a region that is lost or drained: within seconds
+// all of it arrives at other regions and meets cold caches, where each request
+// takes several times as long. The bound on work in flight is what the
+// operators of the destination declare it can take; the ramp gives its caches
+// time to fill.
 std::uint32_t RampedTotal(const shift_cap& cap, duration lasted) {
   const std::chrono::duration<double> seconds = lasted;
   const double total = cap.initial + cap.ramp_per_s * seconds.count();
@@ -49,12 +50,13 @@
                                              now - each.last_seen > kQuietTime);
   if (quiet)
     each.started = now;
-  // Refused requests keep the ramp going too: those callers will be back.
+  // Refused requests keep the ramp going as well, since their callers will
+  // retry.
   each.last_seen = now;
 }
 
-std::uint32_t shift_budget::room(const std::string& home_region,
-                                 time_point now) const {
+std::uint32_t shift_budget::free_capacity(const std::string& home_region,
+                                          time_point now) const {
   const auto found = shifts_.find(home_region);
   if (found == shifts_.end() || !found->second.cap)
     return std::numeric_limits<std::uint32_t>::max();
@@ -113,32 +115,34 @@
   return ShareOf(*each.cap, RampedTotal(*each.cap, lasted));
 }
 
-// The shares of all seats add up to `total` exactly, whatever it is: whole
-// parts for every seat and the rest one each to the first seats, counted from
-// a seat that depends on the caller's region, so that small caps of several
-// regions don't all fall to the same entry. The share of a seat never shrinks
-// as the total grows, so entries whose ramps started at different times stay
-// below the cap together.
+// The shares of all slot partitions add up to `total` exactly: each partition
+// gets the integer quotient, and the remainder is handed out one by one to
+// consecutive partitions, starting at one that depends on the caller's region,
+// so that small caps of several regions don't all go to the same entry. The
+// share of a partition never shrinks as the total grows, so entries whose ramps
+// started at different times stay below the cap together.
 std::uint32_t shift_budget::ShareOf(const shift_cap& cap,
                                     std::uint32_t total) const {
-  if (share_.seat_count == 0)
+  if (share_.partition_count == 0)
     return 0;
-  const std::uint32_t whole = total / share_.seat_count;
-  const std::uint32_t rest = total % share_.seat_count;
+  const std::uint32_t whole = total / share_.partition_count;
+  const std::uint32_t rest = total % share_.partition_count;
   const auto first = static_cast<std::uint32_t>(
-      XXH64(cap.from.data(), cap.from.size(), 0) % share_.seat_count);
+      XXH64(cap.from.data(), cap.from.size(), 0) % share_.partition_count);
   std::uint32_t sum = 0;
-  for (const auto seat : share_.seats) {
-    if (seat >= share_.seat_count)
+  for (const auto partition : share_.partitions) {
+    if (partition >= share_.partition_count)
       continue;
-    const auto turn = (seat + share_.seat_count - first) % share_.seat_count;
+    const auto turn =
+        (partition + share_.partition_count - first) % share_.partition_count;
     sum += whole + (turn < rest ? 1 : 0);
   }
   return sum;
 }
 
-std::optional<duration> shift_budget::UntilRamp(const std::string& home_region,
-                                                time_point now) const {
+std::optional<duration> shift_budget::TimeUntilFreeCapacity(
+    const std::string& home_region,
+    time_point now) const {
   const auto found = shifts_.find(home_region);
   if (found == shifts_.end() || !found->second.cap)
     return std::nullopt;
@@ -146,7 +150,8 @@
   const auto& cap = *each.cap;
   if (cap.ramp_per_s <= 0 || ShareOf(cap, cap.max_in_flight) <= each.in_flight)
     return std::nullopt;
-  // The least total at which this entry's share holds one more.
+  // Finds the smallest total at which this entry's share exceeds its work in
+  // flight by one.
   std::uint32_t total = RampedTotal(cap, now - each.started);
   while (total < cap.max_in_flight && ShareOf(cap, total) <= each.in_flight)
     ++total;
--- a/src/libsamphire/decision/shift_share.h
+++ b/src/libsamphire/decision/shift_share.h
@@ -6,10 +6,13 @@
 
 namespace samphire {
 
-// Which of its region's seats this entry holds; caps are split by seat.
+// The slot partitions of the region that this entry owns; each shift cap is
+// divided among the partitions.
 struct shift_share {
-  std::vector<std::uint32_t> seats;
-  std::uint32_t seat_count = 0;
+  // Numbers of the owned partitions, each below `partition_count`.
+  std::vector<std::uint32_t> partitions;
+  // Number of slot partitions of the whole region.
+  std::uint32_t partition_count = 0;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/decision/shift_status.h
+++ b/src/libsamphire/decision/shift_status.h
@@ -6,7 +6,8 @@
 
 namespace samphire {
 
-// Work of one other region's callers at this entry, and its share of the cap.
+// Requests of callers from one other region that run at this entry, and this
+// entry's current share of the shift cap.
 struct shift_status {
   std::string home_region;
   std::uint32_t in_flight = 0;
--- a/src/libsamphire/decision/slot_grant.h
+++ b/src/libsamphire/decision/slot_grant.h
@@ -7,16 +7,19 @@
 
 namespace samphire {
 
-// The right to run one request on one target now; given back by Finish.
+// Permission to run one request on one target now. The slot is released by
+// service_dispatcher::Finish.
 struct slot_grant {
+  // Unique per dispatcher.
   std::uint64_t grant_id = 0;
   std::uint64_t request_id = 0;
   std::string target;
   std::string address;
   std::string failure_domain;
-  // The target was ejected, and this request tells whether it is back.
+  // Whether the target is ejected and this request probes whether it has
+  // recovered.
   bool probe = false;
-  // The loan whose slot this is, if it is a borrowed one.
+  // The loan to which the slot belongs, if it is a borrowed one.
   std::optional<std::uint64_t> loan_id;
 };
 
--- a/src/libsamphire/decision/slot_ramp.cc
+++ b/src/libsamphire/decision/slot_ramp.cc
@@ -28,9 +28,9 @@
   const double part = fraction(now);
   if (part >= 1)
     return slots;
-  // Each entry owns but a few slots of a target. Were every entry to round up
-  // to one, a cold target would meet its whole load at once; so each rounds by
-  // its own stagger, and the sum over entries follows the ramp.
+  // Each entry owns only a few slots of a target. If every entry rounded up to
+  // one, a cold target would receive its whole load at once; so each entry
+  // rounds by its own `stagger`, and the sum over the entries follows the ramp.
   return std::min(slots, static_cast<std::uint32_t>(slots * part + stagger_));
 }
 
--- a/src/libsamphire/decision/slot_ramp.h
+++ b/src/libsamphire/decision/slot_ramp.h
@@ -7,19 +7,27 @@
 
 namespace samphire {
 
-// Which part of a target's slots may be used while its caches warm up.
+// The part of a target's slots that may be used while its caches warm up: it
+// grows linearly to all slots over the length of the ramp. Starts complete. Not
+// thread-safe.
 class slot_ramp {
  public:
-  // `stagger` in [0, 1) rounds small shares up or down, see usable().
+  // `length` is the time from no usable slots to all of them. `stagger` in [0,
+  // 1) decides whether a fractional number of slots is rounded up or down, see
+  // usable().
   slot_ramp(duration length, double stagger)
       : length_(length), stagger_(stagger) {}
 
-  // Starts from nothing usable but the first slot.
+  // Restarts the ramp with no slots usable but, depending on `stagger`, the
+  // first.
   void Restart(time_point now);
-  // The target shed load: half of what was usable stays so.
+  // Halves the usable part, because the target shed load, and ramps up from
+  // there.
   void Halve(time_point now);
 
+  // Usable part of the slots, in 0..1.
   double fraction(time_point now) const;
+  // How many out of `slots` slots may be used.
   std::uint32_t usable(std::uint32_t slots, time_point now) const;
   bool complete(time_point now) const { return fraction(now) >= 1; }
 
--- a/src/libsamphire/decision/status_metrics.h
+++ b/src/libsamphire/decision/status_metrics.h
@@ -8,7 +8,8 @@
 
 namespace samphire {
 
-// Sets the gauges that show one service's dispatcher.
+// Sets the gauges that show the status of one service's dispatcher, labelled
+// with the name of the service.
 void PublishStatus(metrics& registry,
                    std::string_view service,
                    const dispatcher_status& status);
--- a/src/libsamphire/decision/target_pool.cc
+++ b/src/libsamphire/decision/target_pool.cc
@@ -8,16 +8,18 @@
 
 namespace {
 
-// At most this share of the open targets is out of use at once. Beyond it the
-// fault is more likely with this entry or with all targets alike, and the rest
-// could not carry the load.
+// At most this percentage of the open targets is ejected at once. Beyond it the
+// fault is more likely in this entry or common to all targets, and the
+// remaining targets could not carry the load.
 constexpr std::size_t kMaxEjectedPercent = 34;
-// After this long without work a target's caches count as cold again.
+// After this long without work the caches of a target are assumed to be cold
+// again.
 constexpr duration kColdAfterIdle = std::chrono::seconds(60);
-// What a target says of its own load moves its score by this much at most: it
-// may break a tie, it can't draw work to a target that is slow in truth.
+// The load that a target reports changes its score by this fraction at most: it
+// may break a tie, but it can't attract work to a target that is in fact slow.
 constexpr double kHintWeight = 0.1;
-constexpr double kHealthyProbe = 3;
+// A probe with a greater slowness doesn't readmit its target.
+constexpr double kMaxProbeSlowness = 3;
 
 bool Contains(const std::vector<std::string>* names, const std::string& name) {
   return names != nullptr &&
@@ -30,9 +32,9 @@
                          duration ramp,
                          std::uint64_t seed)
     : ramp_length_(ramp), random_(seed) {
-  // An entry that starts knows nothing of its targets' caches. They are taken
-  // as warm: entries are replaced every day, and each ramping anew would cost
-  // the region capacity that it really has.
+  // An entry that starts has no information about its targets' caches. They are
+  // assumed to be warm: entries are replaced every day, and a ramp after each
+  // replacement would cost the region capacity that it really has.
   SetTargets(declared, time_point{});
   for (auto& each : targets_)
     each.ramp = slot_ramp(ramp, 0);
@@ -54,9 +56,9 @@
   }
 }
 
-// Placements hold indices, so the state of a target that is gone is not erased
-// but used again once nothing runs on it; else a deployment that replaces its
-// targets every day would grow this list without end.
+// Placements hold indices, so the state of a removed target is not erased but
+// reused once nothing runs on it; otherwise a deployment that replaces its
+// targets every day would grow this list without bound.
 target_state& target_pool::NewTarget() {
   const double stagger = std::uniform_real_distribution<>(0, 1)(random_);
   target_state fresh(slot_ramp(ramp_length_, stagger));
@@ -83,44 +85,47 @@
 
 void target_pool::SetHint(std::string_view target, double load) {
   if (auto* known = FindTarget(target))
-    known->hint = std::clamp(load, 0.0, 1.0);
+    known->load_hint = std::clamp(load, 0.0, 1.0);
 }
 
-std::optional<placement> target_pool::Place(const placing_wish& wish,
-                                            time_point now) {
-  if (const auto probe = PlaceProbe(wish, now))
+std::optional<placement> target_pool::Place(
+    const placement_constraints& constraints,
+    time_point now) {
+  if (const auto probe = PlaceProbe(constraints, now))
     return probe;
   std::vector<std::size_t> candidates;
   std::vector<std::size_t> avoided;
   for (std::size_t i = 0; i < targets_.size(); ++i) {
-    if (!CanStart(targets_[i], wish, now))
+    if (!CanStart(targets_[i], constraints, now))
       continue;
     const bool avoid =
-        Contains(wish.avoid_failure_domains, targets_[i].failure_domain);
+        Contains(constraints.avoid_failure_domains, targets_[i].failure_domain);
     (avoid ? avoided : candidates).push_back(i);
   }
   // A retry waits for another failure domain rather than meet the same fault
-  // again; only when there is no other does it go back.
+  // again; it returns to the avoided one only if there is no other.
   if (candidates.empty() && !avoided.empty() &&
-      !HasRoomElsewhere(*wish.avoid_failure_domains))
+      !HasSlotsElsewhere(*constraints.avoid_failure_domains))
     candidates = std::move(avoided);
   if (candidates.empty())
     return std::nullopt;
-  return Take(PickOfTwo(candidates, wish.isolate), wish, now);
+  return TakeSlot(PickBestOfTwo(candidates, constraints.isolate), constraints,
+                  now);
 }
 
-std::optional<placement> target_pool::PlaceProbe(const placing_wish& wish,
-                                                 time_point now) {
-  if (!wish.may_probe)
+std::optional<placement> target_pool::PlaceProbe(
+    const placement_constraints& constraints,
+    time_point now) {
+  if (!constraints.may_probe)
     return std::nullopt;
   for (std::size_t i = 0; i < targets_.size(); ++i) {
     auto& target = targets_[i];
     if (!target.open() || !target.health.MayProbe(now) ||
-        target.OwnFree(now) == 0 ||
-        Contains(wish.avoid_failure_domains, target.failure_domain))
+        target.FreeOwned(now) == 0 ||
+        Contains(constraints.avoid_failure_domains, target.failure_domain))
       continue;
     target.health.StartProbe();
-    ++target.own_running;
+    ++target.running_on_owned;
     ++target.running;
     return placement{i, true, std::nullopt};
   }
@@ -128,16 +133,16 @@
 }
 
 bool target_pool::CanStart(const target_state& target,
-                           const placing_wish& wish,
+                           const placement_constraints& constraints,
                            time_point now) const {
   if (!target.open() || !target.health.serving() || target.isolating)
     return false;
-  return target.OwnFree(now) > 0 ||
-         (wish.may_borrow &&
-          loans_.FindIdle(target.name, wish.longest, now).has_value());
+  return target.FreeOwned(now) > 0 ||
+         (constraints.may_borrow &&
+          loans_.FindIdle(target.name, constraints.longest, now).has_value());
 }
 
-bool target_pool::HasRoomElsewhere(
+bool target_pool::HasSlotsElsewhere(
     const std::vector<std::string>& avoided) const {
   return std::any_of(
       targets_.begin(), targets_.end(), [&](const target_state& each) {
@@ -146,11 +151,12 @@
       });
 }
 
-// Made for many entries that choose at the same moment on like information:
-// were each to take the best, all would take the same one. Two random choices
-// spread them and still avoid the slow.
-std::size_t target_pool::PickOfTwo(const std::vector<std::size_t>& candidates,
-                                   bool isolate) {
+// Power of two choices. Many entries choose at the same moment from similar
+// information: if each took the best target, all would take the same one. The
+// better of two random targets spreads the load and still avoids slow targets.
+std::size_t target_pool::PickBestOfTwo(
+    const std::vector<std::size_t>& candidates,
+    bool isolate) {
   std::vector<std::size_t> idle;
   if (isolate) {
     for (const auto index : candidates) {
@@ -165,34 +171,37 @@
   return Score(targets_[second]) < Score(targets_[first]) ? second : first;
 }
 
-// The expected time of one more request there: slowness from real outcomes,
-// grown by how much of the target is in use.
+// Estimates the time that one more request takes on the target: slowness from
+// measured outcomes, increased by how much of the target is in use. Lower is
+// better.
 double target_pool::Score(const target_state& target) const {
   const double slots = std::max(1U, target.owned);
   return target.health.slowness() * (1 + target.running / slots) *
-         (1 + kHintWeight * target.hint);
+         (1 + kHintWeight * target.load_hint);
 }
 
-placement target_pool::Take(std::size_t index,
-                            const placing_wish& wish,
-                            time_point now) {
+placement target_pool::TakeSlot(std::size_t index,
+                                const placement_constraints& constraints,
+                                time_point now) {
   auto& target = targets_[index];
   if (target.last_used != time_point{} && target.running == 0 &&
       now - target.last_used > kColdAfterIdle)
     target.ramp.Restart(now);
   placement placed{index, false, std::nullopt};
-  // An own slot first: a loan that is not needed goes back sooner.
-  if (target.OwnFree(now) > 0) {
-    ++target.own_running;
+  // An owned slot is preferred, so that a loan which is not needed is returned
+  // sooner.
+  if (target.FreeOwned(now) > 0) {
+    ++target.running_on_owned;
   } else {
-    placed.loan_id = loans_.FindIdle(target.name, wish.longest, now);
+    placed.loan_id = loans_.FindIdle(target.name, constraints.longest, now);
     if (placed.loan_id)
       loans_.SetBusy(*placed.loan_id, true);
     else
-      ++target.own_running;  // The ramp has just been restarted.
+      ++target.running_on_owned;  // The ramp was restarted just above.
   }
-  // Whoever joined a crash suspect would share its crash.
-  target.isolating = wish.isolate && target.running == 0;
+  // Any request placed on the target beside a crash suspect would be lost if
+  // the suspect crashed it.
+  target.isolating = constraints.isolate && target.running == 0;
   ++target.running;
   target.last_used = now;
   return placed;
@@ -207,49 +216,49 @@
   if (placed.loan_id)
     loans_.SetBusy(*placed.loan_id, false);
   else
-    --target.own_running;
+    --target.running_on_owned;
   target.isolating = false;
   target.last_used = now;
   target.health.OnOutcome(outcome, slowness);
   if (outcome == attempt_outcome::kTargetShed)
     target.ramp.Halve(now);
   if (placed.probe)
-    JudgeProbe(target, outcome, slowness, now);
+    EvaluateProbe(target, outcome, slowness, now);
   else if (target.health.serving())
-    ConsiderEjection(target, now);
+    EjectIfUnhealthy(target, now);
 }
 
-void target_pool::JudgeProbe(target_state& target,
-                             attempt_outcome outcome,
-                             double slowness,
-                             time_point now) {
+void target_pool::EvaluateProbe(target_state& target,
+                                attempt_outcome outcome,
+                                double slowness,
+                                time_point now) {
   if (!target.health.probing())
     return;
   if (outcome == attempt_outcome::kCancelled) {
     target.health.AbandonProbe();
     return;
   }
-  if (outcome != attempt_outcome::kOk || slowness > kHealthyProbe) {
+  if (outcome != attempt_outcome::kOk || slowness > kMaxProbeSlowness) {
     target.health.Eject(ejection_cause::kFailedProbe, now);
     return;
   }
-  // One good answer shows that the target lives, not that it carries a full
-  // load: its caches may be cold after a restart.
+  // One successful response shows that the target is alive, not that it can
+  // carry its full load: its caches may be cold after a restart.
   target.health.Readmit();
   target.ramp.Restart(now);
 }
 
-void target_pool::ConsiderEjection(target_state& target, time_point now) {
-  const bool failed = target.health.LooksFailed();
+void target_pool::EjectIfUnhealthy(target_state& target, time_point now) {
+  const bool failed = target.health.IsFailing();
   const bool slow =
-      !failed && target.health.LooksSlow(MedianSlownessOfPeers(target));
-  if ((failed || slow) && MayEjectOneMore()) {
+      !failed && target.health.IsSlow(MedianSlownessOfPeers(target));
+  if ((failed || slow) && CanEjectAnother()) {
     target.health.Eject(
         failed ? ejection_cause::kFailures : ejection_cause::kSlowness, now);
   }
 }
 
-bool target_pool::MayEjectOneMore() const {
+bool target_pool::CanEjectAnother() const {
   std::size_t open = 0;
   std::size_t ejected = 0;
   for (const auto& each : targets_) {
--- a/src/libsamphire/decision/target_pool.h
+++ b/src/libsamphire/decision/target_pool.h
@@ -16,73 +16,88 @@
 #include "decision/loan_set.h"
 #include "decision/owned_slots.h"
 #include "decision/placement.h"
-#include "decision/placing_wish.h"
+#include "decision/placement_constraints.h"
 #include "decision/target_state.h"
 
 namespace samphire {
 
-// The targets of one service at one entry: which slots are free, which target
-// is the best for a request, and which are ejected.
+// The targets of one service at one entry: their free slots, owned and
+// borrowed, the choice of a target for a request, and ejection of unhealthy
+// targets. Not thread-safe.
 class target_pool {
  public:
+  // `ramp` is the warm-up time of a cold target.
   target_pool(const service& declared, duration ramp, std::uint64_t seed);
 
-  // Targets that were not declared before are cold.
+  // Replaces the declared targets. Those that were not declared before are
+  // assumed to be cold and ramp up.
   void SetTargets(const service& declared, time_point now);
   void SetOwned(const std::vector<owned_slots>& owned);
   void SetClosed(const std::set<std::string>& closed);
+  // Sets the load that a target reports of itself, in 0..1.
   void SetHint(std::string_view target, double load);
 
-  // Takes a slot for a request, or none if none fits.
-  std::optional<placement> Place(const placing_wish& wish, time_point now);
-  // Gives the slot back and learns from the outcome.
+  // Takes a slot for a request; none if no target has a slot that satisfies the
+  // constraints.
+  std::optional<placement> Place(const placement_constraints& constraints,
+                                 time_point now);
+  // Releases the slot and updates the target's health from the outcome.
   void Release(const placement& placed,
                attempt_outcome outcome,
                double slowness,
                time_point now);
 
-  // Takes one free own slot out of use, best where most are free.
+  // Removes one free owned slot from use in order to lend it, from the target
+  // with the most free slots.
   std::optional<lent_slot> Lend(time_point now);
   bool CanLend(time_point now) const;
-  void Restore(std::string_view target);
+  // Returns a lent slot of the target to use.
+  void RestoreLentSlot(std::string_view target);
 
   loan_set& loans() { return loans_; }
   const loan_set& loans() const { return loans_; }
   const target_state& at(std::size_t index) const { return targets_[index]; }
   const std::vector<target_state>& all() const { return targets_; }
+  // Whether the target is declared, not closed and not ejected.
   bool IsOpen(std::string_view target) const;
 
-  // Whether a free slot or a due probe may let anything start.
+  // Whether a free slot or a due probe may allow a request to start.
   bool MayStartAny(time_point now) const;
-  // Slots that are free now, own and borrowed, and own ones alone.
+  // Number of free slots, owned and borrowed, and of free owned slots alone.
   std::uint32_t FreeSlots(time_point now) const;
-  std::uint32_t FreeOwnSlots(time_point now) const;
-  // Slots of serving targets, in use or not, own and borrowed.
+  std::uint32_t FreeOwnedSlots(time_point now) const;
+  // Number of slots of serving targets, in use or not, owned and borrowed.
   std::uint32_t UsableSlots(time_point now) const;
-  // Whether any target may take new work at some time.
+  // Whether any target may receive new work now or later.
   bool AnyOpen() const;
-  // The next time at which a ramp or an ejection may free a slot.
+  // The next time at which a ramp, an ejection or a loan may change the number
+  // of free slots.
   std::optional<time_point> NextChange(time_point now) const;
 
  private:
   target_state& NewTarget();
   target_state* FindTarget(std::string_view name);
   bool CanStart(const target_state& target,
-                const placing_wish& wish,
+                const placement_constraints& constraints,
                 time_point now) const;
   static bool IsLendable(const target_state& target, time_point now);
-  bool HasRoomElsewhere(const std::vector<std::string>& avoided) const;
-  std::size_t PickOfTwo(const std::vector<std::size_t>& candidates,
-                        bool isolate);
+  bool HasSlotsElsewhere(const std::vector<std::string>& avoided) const;
+  std::size_t PickBestOfTwo(const std::vector<std::size_t>& candidates,
+                            bool isolate);
   double Score(const target_state& target) const;
-  std::optional<placement> PlaceProbe(const placing_wish& wish, time_point now);
-  placement Take(std::size_t index, const placing_wish& wish, time_point now);
-  void JudgeProbe(target_state& target,
-                  attempt_outcome outcome,
-                  double slowness,
-                  time_point now);
-  void ConsiderEjection(target_state& target, time_point now);
-  bool MayEjectOneMore() const;
+  std::optional<placement> PlaceProbe(const placement_constraints& constraints,
+                                      time_point now);
+  placement TakeSlot(std::size_t index,
+                     const placement_constraints& constraints,
+                     time_point now);
+  void EvaluateProbe(target_state& target,
+                     attempt_outcome outcome,
+                     double slowness,
+                     time_point now);
+  // Ejects a target that fails or is slow compared with its peers.
+  void EjectIfUnhealthy(target_state& target, time_point now);
+  // Whether one more ejection stays within the allowed share of targets.
+  bool CanEjectAnother() const;
   double MedianSlownessOfPeers(const target_state& target) const;
 
   duration ramp_length_;
--- a/src/libsamphire/decision/target_pool_slots.cc
+++ b/src/libsamphire/decision/target_pool_slots.cc
@@ -1,4 +1,4 @@
-// The slot counts of the pool: what is free, usable, lent.
+// Slot counts of the pool: free, usable and lent slots.
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-// How often ramps are looked at again while requests wait.
+// How often ramps are evaluated again while requests wait.
 constexpr duration kRampStep = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -18,7 +18,7 @@
   for (auto& each : targets_) {
     if (!IsLendable(each, now))
       continue;
-    if (best == nullptr || each.OwnFree(now) > best->OwnFree(now))
+    if (best == nullptr || each.FreeOwned(now) > best->FreeOwned(now))
       best = &each;
   }
   if (best == nullptr)
@@ -33,14 +33,15 @@
       [&](const target_state& each) { return IsLendable(each, now); });
 }
 
-// A target that ramps or is ejected here would be worked hard by a borrower
-// that has not noticed; one with a crash suspect is to be left alone.
+// A borrower does not know that a target is ramping up or ejected at this entry
+// and would put full load on it; a target with a crash suspect must run nothing
+// else.
 bool target_pool::IsLendable(const target_state& target, time_point now) {
   return target.open() && target.health.serving() && !target.isolating &&
-         target.ramp.complete(now) && target.OwnFree(now) > 0;
+         target.ramp.complete(now) && target.FreeOwned(now) > 0;
 }
 
-void target_pool::Restore(std::string_view target) {
+void target_pool::RestoreLentSlot(std::string_view target) {
   auto* known = FindTarget(target);
   if (known != nullptr && known->lent > 0)
     --known->lent;
@@ -59,19 +60,19 @@
   return std::any_of(
       targets_.begin(), targets_.end(), [&](const target_state& each) {
         const bool usable = each.health.serving() || each.health.MayProbe(now);
-        return each.open() && usable && each.OwnFree(now) > 0;
+        return each.open() && usable && each.FreeOwned(now) > 0;
       });
 }
 
 std::uint32_t target_pool::FreeSlots(time_point now) const {
-  return FreeOwnSlots(now) + loans_.idle(now);
+  return FreeOwnedSlots(now) + loans_.idle(now);
 }
 
-std::uint32_t target_pool::FreeOwnSlots(time_point now) const {
+std::uint32_t target_pool::FreeOwnedSlots(time_point now) const {
   std::uint32_t count = 0;
   for (const auto& each : targets_) {
     if (each.open() && each.health.serving())
-      count += each.OwnFree(now);
+      count += each.FreeOwned(now);
   }
   return count;
 }
--- a/src/libsamphire/decision/target_state.h
+++ b/src/libsamphire/decision/target_state.h
@@ -10,7 +10,7 @@
 
 namespace samphire {
 
-// One target as this entry sees and uses it.
+// State of one target at this entry.
 struct target_state {
   explicit target_state(slot_ramp initial) : ramp(initial) {}
 
@@ -18,26 +18,28 @@
   std::string address;
   std::string failure_domain;
 
+  // Slots owned through slot partitions, and how many of them are lent.
   std::uint32_t owned = 0;
   std::uint32_t lent = 0;
-  // Running on own slots, and on own and borrowed ones together.
-  std::uint32_t own_running = 0;
+  // Requests running on owned slots, and on owned and borrowed slots together.
+  std::uint32_t running_on_owned = 0;
   std::uint32_t running = 0;
-  // Gone from the declaration; kept until its work has ended.
+  // False once the target is gone from the declaration; the state is kept until
+  // its work has ended.
   bool declared = true;
-  // Draining, leaving or gone: no new work.
+  // Draining, leaving or gone: receives no new work.
   bool closed = false;
-  // A crash suspect runs here alone.
+  // A crash suspect is running here; nothing else may start.
   bool isolating = false;
-  // What the target says of its own load, in 0..1.
-  double hint = 0;
+  // The load that the target reports of itself, in 0..1.
+  double load_hint = 0;
   time_point last_used;
 
   slot_ramp ramp;
   target_health health;
 
-  // Own slots that may start work now.
-  std::uint32_t OwnFree(time_point now) const;
+  // Number of owned slots that may start work now.
+  std::uint32_t FreeOwned(time_point now) const;
   bool open() const { return declared && !closed; }
 };
 
--- a/src/libsamphire/decision/wait_queue.cc
+++ b/src/libsamphire/decision/wait_queue.cc
@@ -11,9 +11,9 @@
 
 namespace {
 
-// A waiter that may not use the slot at hand (it avoids a failure domain) must
-// not hold up those behind it; but a long scan on each free slot would cost
-// most when the queue is longest.
+// A waiting request that may not use the free slot (because it avoids a failure
+// domain) must not block those behind it; but a long scan for each free slot
+// would be most expensive when the queue is longest.
 constexpr std::size_t kScanLimit = 16;
 
 constexpr std::array<priority, 3> kHighestFirst = {
@@ -36,7 +36,7 @@
     if (lane->home_region == home_region)
       return *lane;
   }
-  // As many as there are regions; a lane costs a few hundred bytes.
+  // There are as many lanes as regions; a lane takes a few hundred bytes.
   auto& added = lanes_.emplace_back(std::make_unique<waiter_lane>());
   added->home_region = home_region;
   return *added;
@@ -49,8 +49,8 @@
 
 void wait_queue::Add(boost::intrusive_ptr<waiter> entry) {
   auto& list = ListOf(*entry);
-  // By arrival at this entry's door, not at this list: a retry keeps the place
-  // that its first attempt had earned.
+  // Sorted by arrival at this entry, not by insertion into this list: a retry
+  // keeps the position of its first attempt.
   const auto rank = [this](const waiter& each) {
     return order_ == queue_order::kDeadline ? each.request.deadline
                                             : each.request.arrived;
@@ -116,9 +116,9 @@
   return count;
 }
 
-std::size_t wait_queue::InLane(const std::string& home_region,
-                               request_kind kind,
-                               priority rank) const {
+std::size_t wait_queue::CountInLane(const std::string& home_region,
+                                    request_kind kind,
+                                    priority rank) const {
   std::size_t count = 0;
   for (const auto& lane : lanes_) {
     if (lane->home_region != home_region)
--- a/src/libsamphire/decision/wait_queue.h
+++ b/src/libsamphire/decision/wait_queue.h
@@ -18,9 +18,10 @@
 
 namespace samphire {
 
-// The requests that wait at one entry for one service: a lane for each home
-// region, since a shift cap may hold up one region's waiters and must not hold
-// up another's; and all of them by the time their start would be too late.
+// The requests that wait for a slot at one entry for one service. Each home
+// region has a lane of its own, since a shift cap may hold back the requests of
+// one region and must not block those of others; in addition all are sorted by
+// their latest start. Not thread-safe.
 class wait_queue {
  public:
   using waiter_visitor = std::function<bool(waiter&)>;
@@ -31,27 +32,32 @@
   ~wait_queue();
 
   void Add(boost::intrusive_ptr<waiter> entry);
-  // Takes the waiter out; null if it is not here.
+  // Removes and returns the request; null if it is not in the queue.
   boost::intrusive_ptr<waiter> Remove(std::uint64_t request_id);
-  // Takes out one waiter that can no longer start in time.
+  // Removes and returns one request that can no longer start in time; null if
+  // there is none.
   boost::intrusive_ptr<waiter> RemoveExpired(time_point now);
 
-  // Visits waiters in the order of service (higher priority first, then the
-  // lane whose first waiter is the oldest) until `visit` returns true; returns
-  // that waiter or null. At most kScanLimit of each list are visited.
+  // Visits waiting requests in the order of service (higher priority first,
+  // then the lane whose first request is the oldest) until `visit` returns
+  // true; returns that request or null. At most kScanLimit requests of each
+  // list are visited.
   waiter* Find(request_kind kind, const waiter_visitor& visit) const;
 
   bool empty() const { return by_id_.empty(); }
   std::size_t size(request_kind kind) const;
-  // How many of this priority and above wait in the lane of a home region.
-  std::size_t InLane(const std::string& home_region,
-                     request_kind kind,
-                     priority rank) const;
+  // Number of requests of this priority and above that wait in the lane of a
+  // home region.
+  std::size_t CountInLane(const std::string& home_region,
+                          request_kind kind,
+                          priority rank) const;
   const std::vector<std::unique_ptr<waiter_lane>>& lanes() const {
     return lanes_;
   }
-  // The longest waiting of this kind, or null.
+  // The request of this kind that has waited longest, or null.
   const waiter* oldest(request_kind kind) const;
+  // The earliest latest start of any waiting request; none if the queue is
+  // empty.
   std::optional<time_point> next_expiry() const;
 
  private:
@@ -67,6 +73,7 @@
   using expiry_set = boost::intrusive::
       multiset<waiter, expiry_hook, boost::intrusive::compare<earlier_start>>;
 
+  // Returns the lane of the region, creating it if necessary.
   waiter_lane& LaneOf(const std::string& home_region);
   waiter_lane::waiter_list& ListOf(const waiter& entry);
 
--- a/src/libsamphire/decision/waiter.h
+++ b/src/libsamphire/decision/waiter.h
@@ -14,12 +14,12 @@
 
 struct class_load;
 
-// A request that waits for a slot.
+// A request that waits for a slot. Owned by its wait_queue.
 struct waiter
     : boost::intrusive_ref_counter<waiter, boost::thread_unsafe_counter> {
   admission_request request;
   class_load* load = nullptr;
-  // After this a start would be too late for the deadline.
+  // A start after this time would be too late for the deadline.
   time_point latest_start;
 
   boost::intrusive::list_member_hook<> queue_hook;
--- a/src/libsamphire/decision/waiter_lane.h
+++ b/src/libsamphire/decision/waiter_lane.h
@@ -10,7 +10,7 @@
 
 namespace samphire {
 
-// The waiters of one home region: a list for each kind and priority.
+// The waiting requests of one home region: a list for each kind and priority.
 struct waiter_lane {
   using waiter_list = boost::intrusive::list<
       waiter,
--- a/src/libsamphire/decision/wakeup.h
+++ b/src/libsamphire/decision/wakeup.h
@@ -9,10 +9,10 @@
 
 namespace samphire {
 
-// What became of a request that waited.
+// Result for a request that had been queued: it starts now, or it is refused.
 struct wakeup {
   std::uint64_t request_id = 0;
-  std::variant<slot_grant, refusal> fate;
+  std::variant<slot_grant, refusal> result;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/guarded_quarantine.cc
+++ b/src/libsamphire/gateway/guarded_quarantine.cc
@@ -11,21 +11,21 @@
                                        notice_sink sink)
     : clock_(clock), sink_(std::move(sink)) {}
 
-crash_verdict guarded_quarantine::Judge(request_fingerprint fingerprint) {
+quarantine_decision guarded_quarantine::Judge(request_fingerprint fingerprint) {
   std::lock_guard guard(lock_);
-  return quarantine_.Judge(fingerprint, clock_.now());
+  return quarantine_.Decide(fingerprint, clock_.now());
 }
 
 std::vector<std::string> guarded_quarantine::LostWith(
     request_fingerprint fingerprint) {
   std::lock_guard guard(lock_);
-  return quarantine_.LostWith(fingerprint, clock_.now());
+  return quarantine_.TargetsLostWith(fingerprint, clock_.now());
 }
 
 void guarded_quarantine::Started(request_fingerprint fingerprint,
                                  const std::string& target) {
   std::lock_guard guard(lock_);
-  quarantine_.Started(fingerprint, target);
+  quarantine_.OnAttemptStarted(fingerprint, target);
 }
 
 void guarded_quarantine::Finished(request_fingerprint fingerprint,
@@ -34,7 +34,8 @@
   std::optional<crash_notice> notice;
   {
     std::lock_guard guard(lock_);
-    notice = quarantine_.Finished(fingerprint, target, outcome, clock_.now());
+    notice = quarantine_.OnAttemptFinished(fingerprint, target, outcome,
+                                           clock_.now());
   }
   if (!notice)
     return;
@@ -42,7 +43,8 @@
       {{"target", target},
        {"fingerprint", std::to_string(fingerprint)},
        {"alone", notice->alone},
-       {"quarantined", Judge(fingerprint) == crash_verdict::kQuarantined}});
+       {"quarantined",
+        Judge(fingerprint) == quarantine_decision::kQuarantined}});
   sink_(*notice);
 }
 
--- a/src/libsamphire/gateway/guarded_quarantine.h
+++ b/src/libsamphire/gateway/guarded_quarantine.h
@@ -18,7 +18,7 @@
 
   guarded_quarantine(const clock_source& clock, notice_sink sink);
 
-  crash_verdict Judge(request_fingerprint fingerprint);
+  quarantine_decision Judge(request_fingerprint fingerprint);
   std::vector<std::string> LostWith(request_fingerprint fingerprint);
   void Started(request_fingerprint fingerprint, const std::string& target);
   void Finished(request_fingerprint fingerprint,
--- a/src/libsamphire/gateway/local_server.cc
+++ b/src/libsamphire/gateway/local_server.cc
@@ -131,15 +131,15 @@
 
 std::optional<answer_note> local_server::CheckQuarantine(progress& state) {
   switch (quarantine_.Judge(state.request.fingerprint)) {
-    case crash_verdict::kInnocent:
+    case quarantine_decision::kUnrestricted:
       return std::nullopt;
-    case crash_verdict::kIsolate:
+    case quarantine_decision::kIsolate:
       state.admission.isolate = true;
       AvoidLostTargets(state);
       return std::nullopt;
-    case crash_verdict::kWait:
+    case quarantine_decision::kWait:
       return Note(state, result_code::kSuspectRunning, run_state::kNotRun);
-    case crash_verdict::kQuarantined:
+    case quarantine_decision::kQuarantined:
       return Note(state, result_code::kQuarantined, run_state::kNotRun);
   }
   return std::nullopt;
--- a/src/libsamphire/gateway/service_gate.cc
+++ b/src/libsamphire/gateway/service_gate.cc
@@ -42,7 +42,7 @@
     const auto found = waiters_.find(each.request_id);
     if (found == waiters_.end())
       continue;
-    found->second->fate = each.fate;
+    found->second->fate = each.result;
     found->second->wake.notify_one();
   }
 }
@@ -158,7 +158,7 @@
 
 std::uint32_t service_gate::over_owned() const {
   std::lock_guard guard(lock_);
-  return dispatcher_.over_owned();
+  return dispatcher_.excess_slots();
 }
 
 loan_counts service_gate::loans() const {
--- a/tests/decision/admission_test.cc
+++ b/tests/decision/admission_test.cc
@@ -5,7 +5,9 @@
 using namespace samphire;
 using namespace std::chrono_literals;
 
-TEST_CASE("a free slot is given at once, and its end changes things once") {
+TEST_CASE(
+    "a free slot is granted at once, and ending it twice has no further "
+    "effect") {
   dispatcher_fixture entry(1, 1);
   const auto first = entry.Grant();
   CHECK(first.target == "t0");
@@ -13,13 +15,14 @@
   REQUIRE(std::holds_alternative<queued>(second));
   const auto woken = entry.Finish(first);
   REQUIRE(woken.size() == 1);
-  CHECK(std::holds_alternative<slot_grant>(woken[0].fate));
+  CHECK(std::holds_alternative<slot_grant>(woken[0].result));
   CHECK(entry.Finish(first).empty());
   CHECK(entry.slots.status(entry.now).in_flight == 1);
 }
 
-// More requests come than can be answered in time. A caller that is let in all
-// the same waits for an answer that comes too late, and holds up the next.
+// More requests arrive than can be answered in time. If they were admitted,
+// their callers would wait for answers that come too late, and would delay the
+// next requests.
 TEST_CASE("a request that can't end in time is refused on arrival") {
   dispatcher_fixture entry(1, 1);
   entry.Run(20, 100ms);
@@ -29,7 +32,7 @@
   REQUIRE(RefusalOf(refused) == result_code::kDeadlineUnreachable);
   const auto retry_after = std::get<refusal>(refused).retry_after;
   CHECK(retry_after >= 1ms);
-  // The same time is enough once the queue has moved on for so long.
+  // The same time is sufficient once the queue has moved on for that long.
   CHECK(std::holds_alternative<queued>(
       entry.Ask("reading", 300ms + retry_after)));
 }
@@ -42,9 +45,10 @@
   CHECK(RefusalOf(entry.Ask(late)) == result_code::kDeadlineUnreachable);
 }
 
-// A caller waits for a slot that does not come free. It must hear so while it
-// can still turn elsewhere, not when its deadline has passed.
-TEST_CASE("a waiter is told as soon as a start would be too late") {
+// A request waits for a slot that does not become free. Its caller must be
+// informed while it can still use another entry, not when its deadline has
+// passed.
+TEST_CASE("a waiting request is refused as soon as it can't start in time") {
   dispatcher_fixture entry(1, 1);
   entry.Run(20, 100ms);
   entry.Grant();
@@ -54,7 +58,8 @@
   entry.now = due;
   const auto woken = entry.slots.Tick(entry.now);
   REQUIRE(woken.size() == 1);
-  CHECK(std::get<refusal>(woken[0].fate).reason == result_code::kQueueExpired);
+  CHECK(std::get<refusal>(woken[0].result).reason ==
+        result_code::kQueueExpired);
   CHECK(entry.slots.NextTick(entry.now) == time_point::max());
 }
 
@@ -72,7 +77,7 @@
   CHECK(std::holds_alternative<queued>(entry.Ask("alarm", 1000ms)));
 }
 
-TEST_CASE("a cancelled waiter is served no more") {
+TEST_CASE("a cancelled request is removed from the queue") {
   dispatcher_fixture entry(1, 1);
   const auto running = entry.Grant();
   auto request = entry.Request("reading", 1000ms);
@@ -82,8 +87,8 @@
   CHECK(entry.Finish(running).empty());
 }
 
-// A target is drained. Requests that are sent there after that are cut when it
-// stops; those that run there must end as if nothing were.
+// A target is being drained. Requests sent to it after that are cut off when it
+// stops; those already running there must end undisturbed.
 TEST_CASE("a closed target gets no new work and keeps what it runs") {
   dispatcher_fixture entry(2, 1);
   const auto running = entry.Grant();
@@ -98,8 +103,7 @@
         result_code::kNoTargetAvailable);
 }
 
-TEST_CASE(
-    "a share that shrinks under running work starts nothing until below") {
+TEST_CASE("no work starts while more is running than the reduced share") {
   dispatcher_fixture entry(1, 3);
   const std::vector<slot_grant> running = {entry.Grant(), entry.Grant(),
                                            entry.Grant()};
@@ -110,10 +114,11 @@
   CHECK(entry.Finish(running[2]).size() == 1);
 }
 
-// Field technicians pull full histories while a control room reads levels. If
-// the downloads held every slot, or stood before readings in one queue, each
-// reading would wait for seconds.
-TEST_CASE("bulk work holds its share of slots only and stands before nobody") {
+// Field technicians download full histories while a control room reads levels.
+// If the downloads used every slot, or preceded readings in a common queue,
+// each reading would wait for seconds.
+TEST_CASE(
+    "bulk work uses only its share of slots and delays no interactive work") {
   dispatcher_fixture entry(4, 2);
   for (int i = 0; i < 4; ++i)
     entry.Grant("archive", 30'000ms);
@@ -128,24 +133,24 @@
   CHECK(woken[0].request_id == reading.id);
 }
 
-// Rain lasts for hours and readings use every slot. The archive that a
-// technician waits for must still come within its time.
-TEST_CASE("bulk work is not starved by readings without end") {
+// When it rains, readings use every slot for hours. The archive that a
+// technician waits for must still arrive before its deadline.
+TEST_CASE("bulk work is not starved by continuous interactive work") {
   dispatcher_fixture entry(4, 1);
   std::vector<slot_grant> running = {entry.Grant(), entry.Grant(),
                                      entry.Grant(), entry.Grant()};
   const auto archive = entry.Request("archive", 30'000ms);
   REQUIRE(std::holds_alternative<queued>(entry.Ask(archive)));
   bool started = false;
-  const auto give_up = entry.now + 10s;
-  while (!started && entry.now < give_up) {
+  const auto time_limit = entry.now + 10s;
+  while (!started && entry.now < time_limit) {
     entry.Ask("reading", 1000ms);
     entry.now += 25ms;
     const auto ended = running.front();
     running.erase(running.begin());
     for (const auto& each : entry.Finish(ended, 100ms)) {
       started = started || each.request_id == archive.id;
-      if (const auto* grant = std::get_if<slot_grant>(&each.fate))
+      if (const auto* grant = std::get_if<slot_grant>(&each.result))
         running.push_back(*grant);
     }
   }
@@ -163,22 +168,23 @@
   CHECK(woken[0].request_id == alarm.id);
 }
 
-TEST_CASE("waiters held up by a cap neither wish for loans nor block others") {
+TEST_CASE(
+    "requests held back by a shift cap need no loans and block no others") {
   dispatcher_fixture entry(1, 2);
   entry.slots.SetShiftCaps({{"lost", "home", 1, 1, 0}}, {{0}, 1});
   const auto first = std::get<slot_grant>(entry.Ask("reading", 1000ms, "lost"));
   REQUIRE(std::holds_alternative<queued>(entry.Ask("reading", 1000ms, "lost")));
-  CHECK_FALSE(entry.slots.WantsLoan(entry.now));
+  CHECK_FALSE(entry.slots.LoanDemand(entry.now));
   const auto own = entry.Grant();
   entry.Ask("reading", 1000ms);
-  CHECK(entry.slots.WantsLoan(entry.now)->waits.size() == 1);
+  CHECK(entry.slots.LoanDemand(entry.now)->waits.size() == 1);
   CHECK(entry.Finish(own).size() == 1);
   CHECK(entry.Finish(first).size() == 1);
 }
 
-// A target fails after a request has waited its turn. At the end of the queue
-// again, its time would be over before its second turn.
-TEST_CASE("a retry keeps the place of its first attempt") {
+// A target fails after a request has waited in the queue. If the retry were
+// queued at the end, its deadline would pass before it is served.
+TEST_CASE("a retry keeps the queue position of its first attempt") {
   dispatcher_fixture entry(2, 1);
   const auto running = entry.Grant();
   auto failed = entry.Request("reading", 1000ms);
--- a/tests/decision/dispatcher_property_test.cc
+++ b/tests/decision/dispatcher_property_test.cc
@@ -19,7 +19,8 @@
 constexpr std::uint32_t kSlots = 2;
 constexpr std::uint32_t kCap = 3;
 
-// One entry under random calls, and what must hold after each of them.
+// One entry under random calls, with the invariants that must hold after each
+// of them.
 class random_entry {
  public:
   explicit random_entry(std::uint64_t seed)
@@ -41,13 +42,13 @@
     else if (draw < 94)
       LendOrRestore();
     else
-      Note(entry_.slots.Tick(entry_.now));
+      ProcessWakeups(entry_.slots.Tick(entry_.now));
   }
 
-  // Ends everything: every request must have had exactly one fate.
-  void End() {
+  // Ends all requests: every request must have had exactly one result.
+  void EndAllRequests() {
     closed_.clear();
-    Note(entry_.slots.SetClosedTargets(closed_, entry_.now));
+    ProcessWakeups(entry_.slots.SetClosedTargets(closed_, entry_.now));
     const auto longest = entry_.now + 60s;
     while (!running_.empty() || !waiting_.empty()) {
       RC_ASSERT(entry_.now < longest);
@@ -58,7 +59,7 @@
       const auto due = entry_.slots.NextTick(entry_.now);
       RC_ASSERT(due != time_point::max());
       entry_.now = std::max(due, entry_.now + 1ms);
-      Note(entry_.slots.Tick(entry_.now));
+      ProcessWakeups(entry_.slots.Tick(entry_.now));
     }
     RC_ASSERT(entry_.slots.status(entry_.now).in_flight == 0U);
   }
@@ -80,14 +81,14 @@
     homes_[request.id] = request.home_region;
     const auto decision = entry_.Ask(request);
     if (const auto* grant = std::get_if<slot_grant>(&decision))
-      Begin(*grant);
+      RecordGrant(*grant);
     else if (std::holds_alternative<queued>(decision))
       waiting_.insert(request.id);
     else
       RC_ASSERT(std::get<refusal>(decision).retry_after >= 1ms);
   }
 
-  void Begin(const slot_grant& grant) {
+  void RecordGrant(const slot_grant& grant) {
     RC_ASSERT(!closed_.contains(grant.target));
     running_.push_back(grant);
     std::uint32_t there = lent_[grant.target];
@@ -108,8 +109,9 @@
     const auto grant = running_.back();
     running_.pop_back();
     const auto outcome = static_cast<attempt_outcome>(Below(8));
-    Note(entry_.Finish(grant, milliseconds(1 + Below(200)),
-                       Below(2) == 0 ? attempt_outcome::kOk : outcome));
+    ProcessWakeups(
+        entry_.Finish(grant, milliseconds(1 + Below(200)),
+                      Below(2) == 0 ? attempt_outcome::kOk : outcome));
   }
 
   void Cancel() {
@@ -119,21 +121,21 @@
     waiting_.erase(id);
     const auto cancelled = entry_.slots.Cancel(id, entry_.now);
     RC_ASSERT(cancelled.found);
-    Note(cancelled.wakeups);
+    ProcessWakeups(cancelled.wakeups);
   }
 
   void Close() {
     closed_.clear();
     if (Below(2) == 0)
       closed_.insert("t" + std::to_string(Below(kTargets)));
-    Note(entry_.slots.SetClosedTargets(closed_, entry_.now));
+    ProcessWakeups(entry_.slots.SetClosedTargets(closed_, entry_.now));
   }
 
   void LendOrRestore() {
     for (auto& [target, count] : lent_) {
       if (count > 0) {
         --count;
-        Note(entry_.slots.LoanReturned(target, entry_.now));
+        ProcessWakeups(entry_.slots.LoanReturned(target, entry_.now));
         return;
       }
     }
@@ -141,11 +143,11 @@
       ++lent_[lent->target];
   }
 
-  void Note(const std::vector<wakeup>& wakeups) {
+  void ProcessWakeups(const std::vector<wakeup>& wakeups) {
     for (const auto& each : wakeups) {
       RC_ASSERT(waiting_.erase(each.request_id) == 1U);
-      if (const auto* grant = std::get_if<slot_grant>(&each.fate))
-        Begin(*grant);
+      if (const auto* grant = std::get_if<slot_grant>(&each.result))
+        RecordGrant(*grant);
     }
   }
 
@@ -160,14 +162,15 @@
 
 }  // namespace
 
-// Whatever happens in whatever order, each caller hears exactly once, no target
-// runs more than its slots, none that is closed gets work and no shift passes
-// its cap. A user would notice the first as a request that hangs for ever.
-TEST_CASE("every request has one fate and every bound holds under any calls") {
+// For any sequence of calls, each request gets exactly one result, no target
+// runs more requests than it has slots, no closed target gets work, and no
+// shift exceeds its cap. A violation of the first shows to users as a request
+// that hangs for ever.
+TEST_CASE("every request has one result and every bound holds for any calls") {
   CHECK(rc::check([] {
     random_entry entry(*rc::gen::arbitrary<std::uint64_t>());
     for (int i = 0; i < 2000; ++i)
       entry.Step();
-    entry.End();
+    entry.EndAllRequests();
   }));
 }
--- a/tests/decision/placing_test.cc
+++ b/tests/decision/placement_test.cc
@@ -27,7 +27,7 @@
       ++by_target[grant.target];
       for (const auto& each :
            entry.Finish(grant, grant.target == slow ? 500ms : 50ms)) {
-        if (const auto* next = std::get_if<slot_grant>(&each.fate))
+        if (const auto* next = std::get_if<slot_grant>(&each.result))
           entry.Finish(*next, next->target == slow ? 500ms : 50ms);
       }
     }
@@ -41,25 +41,25 @@
 
 }  // namespace
 
-// A target's disk is failing: it answers, but ten times as slowly. Spread
-// evenly, a quarter of all callers would wait ten times as long.
+// A target with a failing disk answers ten times as slowly. With evenly spread
+// requests a quarter of all callers would wait ten times as long.
 TEST_CASE("a slow target is ejected") {
   dispatcher_fixture entry(4, 2);
-  // With every slot in use the slow ones are used as well, so only ejection
-  // helps.
+  // With every slot in use the slow target's slots are used as well, so only
+  // ejection helps.
   const auto by_target = RunWithSlowTarget(entry, 25, 8, "t1");
   CHECK(Ejected(entry) == std::vector<std::string>{"t1"});
   CHECK(by_target.at("t1") < 20);
 }
 
-TEST_CASE("a slow target is chosen seldom where others are free") {
+TEST_CASE("a slow target is rarely chosen while others are free") {
   dispatcher_fixture entry(4, 2);
   CHECK(RunWithSlowTarget(entry, 200, 1, "t1").at("t1") < 20);
 }
 
-// A target's load report is stuck at idle while it is slow in truth. A system
-// that believes it would send most work there.
-TEST_CASE("a target that lies about its load draws no work by it") {
+// A target's load report is stuck at idle while the target is slow. If the
+// report were trusted, most work would be sent there.
+TEST_CASE("a wrong load report attracts no work to a slow target") {
   dispatcher_fixture entry(4, 2);
   for (const auto* honest : {"t0", "t2", "t3"})
     entry.slots.SetLoadHint(honest, 1);
@@ -68,13 +68,14 @@
   CHECK(by_target.at("t1") < 20);
 }
 
-// A target is dead. Each attempt there costs a caller a failure until it is
-// left alone; when it is back, one request finds out, not all at once.
-TEST_CASE("a failing target is ejected, probed singly and let back in") {
+// A target is dead. Each attempt there is a failure for its caller until the
+// target is ejected; once it is back, a single request must detect it, not all
+// at once.
+TEST_CASE("a failing target is ejected, probed by one request and readmitted") {
   dispatcher_fixture entry(3, 4);
   entry.Run(20);
   int failures = 0;
-  // Bounded: without ejection this would never end.
+  // Bounded, since without ejection this would never end.
   for (int i = 0; i < 1000 && Ejected(entry).empty(); ++i) {
     const auto grant = entry.Grant();
     const bool dead = grant.target == "t0";
@@ -86,14 +87,14 @@
   entry.now += 999ms;
   CHECK_FALSE(entry.Grant().probe);
   entry.now += 2ms;
-  // A request that must not run twice is no probe.
+  // A request that must not run twice is not used as a probe.
   CHECK_FALSE(entry.Grant("claim").probe);
   const auto probe = entry.Grant();
   CHECK(probe.probe);
   CHECK(probe.target == "t0");
   CHECK_FALSE(entry.Grant().probe);
   entry.Finish(probe, 1ms, attempt_outcome::kConnectFailed);
-  // The next probe comes after twice the time.
+  // The next probe follows after twice the backoff.
   entry.now += 1500ms;
   CHECK_FALSE(entry.Grant().probe);
   entry.now += 600ms;
@@ -103,8 +104,8 @@
   CHECK(Ejected(entry).empty());
 }
 
-// The network between this entry and all targets fails. Were each ejected, the
-// entry would serve nobody even after the network is back.
+// The network between this entry and all targets fails. If each target were
+// ejected, the entry would serve nobody even after the network has recovered.
 TEST_CASE("no more than a third of the targets is ejected") {
   dispatcher_fixture entry(6, 4);
   for (int i = 0; i < 300; ++i)
@@ -112,8 +113,8 @@
   CHECK(Ejected(entry).size() == 2);
 }
 
-// One request takes twenty times as long as the others. That is its own doing,
-// and its target must not pay for it.
+// One request takes twenty times as long as the others. The cause is the
+// request, so its target must not be ejected.
 TEST_CASE("one very long request ejects no target") {
   dispatcher_fixture entry(4, 2);
   entry.Run(200);
@@ -121,8 +122,8 @@
   CHECK(Ejected(entry).empty());
 }
 
-// A target has been replaced and its cache is empty. Under its whole share at
-// once it would answer each request slowly for longer than if warmed up.
+// A target has been replaced and its cache is empty. If it received its whole
+// share at once, its responses would stay slow for longer than with a warm-up.
 TEST_CASE("the slots of a new target grow over the ramp") {
   dispatcher_fixture entry(1, 1);
   auto grown = entry.declared;
@@ -142,7 +143,7 @@
   CHECK(usable.back() == 10);
 }
 
-TEST_CASE("a target that sheds gets half of its slots, growing back") {
+TEST_CASE("a target that sheds load gets half of its slots and ramps up") {
   dispatcher_fixture entry(1, 8);
   entry.Finish(entry.Grant(), 1ms, attempt_outcome::kTargetShed);
   CHECK(entry.slots.status(entry.now).free <= 5);
@@ -159,7 +160,7 @@
   auto second = entry.Request("reading", 1000ms);
   second.avoid_failure_domains = {"d0"};
   CHECK(std::holds_alternative<queued>(entry.Ask(second)));
-  // Others pass it on the slot that it avoids.
+  // Other requests overtake it on the slot that it avoids.
   CHECK(entry.Grant().failure_domain == "d0");
   const auto woken = entry.Finish(away);
   REQUIRE(woken.size() == 1);
@@ -173,9 +174,9 @@
   CHECK(std::holds_alternative<slot_grant>(entry.Ask(request)));
 }
 
-// A request has crashed one target and comes again. Whatever runs beside it
-// would be lost with the next target.
-TEST_CASE("a crash suspect runs alone, and nobody joins it") {
+// A request has crashed one target and is sent again. Anything that runs beside
+// it would be lost with the next target.
+TEST_CASE("a crash suspect runs alone on its target") {
   dispatcher_fixture entry(2, 3);
   const auto busy = entry.Grant();
   auto suspect = entry.Request("reading", 1000ms);
--- a/tests/decision/region_run_test.cc
+++ b/tests/decision/region_run_test.cc
@@ -1,6 +1,7 @@
-// The decisions of a whole region in simulated time: the same requests under
-// every strategy, bounds as ratios or counts, so no clock takes part. Bounds
-// stand a little above what bench_decisions measured (see docs/design).
+// Simulates the decisions of a whole region: the same requests under each
+// strategy, with bounds given as ratios or counts, so that no real clock is
+// involved. The bounds are a little above the results of bench_decisions (see
+// docs/design).
 #include "decisions/region_run.h"
 
 #include <catch2/catch.hpp>
@@ -31,32 +32,33 @@
 
 }  // namespace
 
-// Rain falls on one district, so one entry of four gets more than half of all
-// requests. With fixed shares its callers wait until their time is over while
-// slots stand idle at the others.
+// It rains in one district, so one entry of four gets more than half of all
+// requests. With fixed shares its callers wait until their deadline while slots
+// of the other entries are idle.
 TEST_CASE("skewed demand waits little longer than in one central queue") {
   const auto input = Scenario(0.8, 0.55);
-  const auto ours = RunAs(input, strategy::kLoans);
+  const auto with_loans = RunAs(input, strategy::kLoans);
   const auto central = RunAs(input, strategy::kCentralQueue);
-  CHECK(WaitP99(ours.interactive) <= 1.7 * WaitP99(central.interactive));
-  CHECK(ours.interactive.refused_total() == 0);
-  CHECK(ours.most_on_target <= workload::kSlotsOfTarget);
-  CHECK(ours.loan_messages <= 3 * ours.interactive.arrived);
+  CHECK(WaitP99(with_loans.interactive) <= 1.7 * WaitP99(central.interactive));
+  CHECK(with_loans.interactive.refused_total() == 0);
+  CHECK(with_loans.most_on_target <= workload::kSlotsOfTarget);
+  CHECK(with_loans.loan_messages <= 3 * with_loans.interactive.arrived);
   const auto fixed = RunAs(input, strategy::kStaticShares);
   CHECK(fixed.interactive.refused_total() > 0);
 }
 
-// Three times as many requests come as the region can answer. Let in beyond
-// that, each would wait until its answer is worthless, and none be in time.
+// Three times as many requests arrive as the region can answer. If more were
+// admitted, each would wait until its answer is useless, and none would be in
+// time.
 TEST_CASE("saturation costs no capacity and makes no admitted request late") {
   for (const double share : {0.25, 0.55}) {
     const auto report = RunAs(Scenario(3, share), strategy::kLoans);
     CHECK(report.goodput() >= 0.95);
     CHECK(report.interactive.late == 0);
     CHECK(report.most_on_target <= workload::kSlotsOfTarget);
-    // Overload shortens the queue rather than letting it grow to the deadline.
+    // Overload shortens the queue instead of letting it grow to the deadline.
     CHECK(WaitP99(report.interactive) <= 250);
-    // Hardly anyone is let in only to be refused later.
+    // Hardly any request is admitted only to be refused later.
     CHECK(report.interactive.refused.contains(result_code::kQueueExpired) ==
           false);
   }
@@ -72,7 +74,7 @@
   CHECK(report.goodput() >= 0.95);
 }
 
-// Technicians pull full histories all day. Readings must not notice.
+// Technicians download full histories all day. Readings must not be affected.
 TEST_CASE("bulk work hardly adds to the latency of interactive work") {
   auto input = Scenario(0.6, 0.25);
   const auto without = RunAs(input, strategy::kLoans);
@@ -85,18 +87,19 @@
   CHECK(with.bulk.refused_total() == 0);
 }
 
-// Arrivals triple for half a second in each five, as when an alarm goes out.
-TEST_CASE("bursts are answered about as by one central queue") {
+// Arrivals triple for half a second out of every five, as when an alarm is
+// sent.
+TEST_CASE("bursts are served about as fast as by one central queue") {
   auto input = Scenario(0.6, 0.55);
   input.burst_factor = 3;
-  const auto ours = RunAs(input, strategy::kLoans);
+  const auto with_loans = RunAs(input, strategy::kLoans);
   const auto central = RunAs(input, strategy::kCentralQueue);
-  CHECK(WaitP99(ours.interactive) <= 1.2 * WaitP99(central.interactive));
-  CHECK(ours.interactive.in_time >= 0.97 * central.interactive.in_time);
+  CHECK(WaitP99(with_loans.interactive) <= 1.2 * WaitP99(central.interactive));
+  CHECK(with_loans.interactive.in_time >= 0.97 * central.interactive.in_time);
 }
 
-// One target in six takes ten times as long, and may claim to be idle.
-TEST_CASE("one slow target is kept from callers, whatever it reports") {
+// One target in six takes ten times as long, and may report that it is idle.
+TEST_CASE("one slow target gets little work, whatever it reports") {
   auto input = Scenario(0.6, 0.25);
   input.slow_factor = 10;
   for (const bool misleading : {false, true}) {
@@ -109,7 +112,8 @@
 }
 
 // The network between entries drops one message in twenty. Each lost message
-// may cost a slot for a while, never give one to two.
+// may make a slot unavailable for a while, but must never assign one slot to
+// two entries.
 TEST_CASE("lost loan messages cost little and break no bound") {
   auto input = Scenario(0.8, 0.55);
   const auto whole = RunAs(input, strategy::kLoans);
@@ -120,7 +124,8 @@
   CHECK(lossy.interactive.refused_total() == 0);
 }
 
-// One of three regions at 60% load is lost, and half of its callers come here.
+// One of three regions at 60% load is lost, and half of its callers use this
+// region.
 TEST_CASE("a shift from a lost region stays within its cap and its ramp") {
   auto input = Scenario(0.6, 0.25);
   input.shifted_load = 0.3;
@@ -128,14 +133,15 @@
   const auto report = RunAs(input, strategy::kLoans);
   CHECK(report.most_shifted <= 8);
   CHECK(report.home.refused_total() == 0);
-  // The same cap at a single entry that owns every slot: what is forced.
+  // The same cap at a single entry that owns every slot gives the number of
+  // refusals that can't be avoided.
   const auto forced = RunAs(input, strategy::kOneEntry);
   CHECK(forced.most_shifted <= 8);
   CHECK(report.shifted.refused_total() <=
         forced.shifted.refused_total() + report.shifted.arrived / 20);
 }
 
-TEST_CASE("a run is the same each time") {
+TEST_CASE("a run is deterministic") {
   const auto input = Scenario(0.9, 0.55);
   const auto first = RunAs(input, strategy::kLoans);
   const auto second = RunAs(input, strategy::kLoans);
--- a/tests/decision/retry_test.cc
+++ b/tests/decision/retry_test.cc
@@ -31,22 +31,23 @@
 
 }  // namespace
 
-// A gate acknowledgement was sent and the connection broke. Sent again, it may
-// be recorded twice.
-TEST_CASE("what must run once is tried again only when it did not run") {
+// A gate acknowledgement was sent and the connection broke. If it were sent
+// again, it might be recorded twice.
+TEST_CASE("a request that must run once is retried only if it did not run") {
   using enum attempt_outcome;
   for (const auto outcome : {kConnectFailed, kTargetShed})
     CHECK(Retries(Attempt(outcome, false)));
   for (const auto outcome : {kLost, kTruncated, kTimedOut, kTargetError})
     CHECK_FALSE(Retries(Attempt(outcome, false)));
   CHECK(Final(Attempt(kLost, false)).run == run_state::kUnknown);
-  // A refusal by a second target does not undo a first run.
+  // A refusal by a second target does not mean that the first attempt did not
+  // run.
   auto second = Attempt(kTargetShed, false);
   second.may_have_run = true;
   CHECK(Final(second).run == run_state::kUnknown);
 }
 
-TEST_CASE("what may run again is retried after any failure but a time-out") {
+TEST_CASE("a repeatable request is retried after any failure but a time-out") {
   using enum attempt_outcome;
   for (const auto outcome :
        {kConnectFailed, kTargetShed, kLost, kTruncated, kTargetError})
@@ -66,13 +67,14 @@
   attempt.budget_allows = false;
   CHECK(Final(attempt).code == result_code::kRetryBudgetSpent);
   CHECK(Final(attempt).run == run_state::kNotRun);
-  // The target's own error answer is passed on rather than word of a budget.
+  // The target's own error response is passed on instead of the information
+  // that the budget is spent.
   attempt.outcome = attempt_outcome::kTargetError;
   CHECK(Final(attempt).code == result_code::kOk);
 }
 
-// Every target sheds at once. If each refusal were tried three times, the load
-// would be three times what was already too much.
+// Every target sheds load at once. If each refused request were attempted three
+// times, the load would be three times what was already too much.
 TEST_CASE("retries stay within their share when every target sheds") {
   retry_budget budget(10);
   int retries = 0;
@@ -91,12 +93,13 @@
       attempt.budget_allows = budget.Allows(now);
     }
   }
-  // A tenth, and the floor: 1 at the start and 0.1 a second.
+  // A tenth of the requests, and the constant part: 1 at the start and 0.1 a
+  // second.
   CHECK(retries <= kRequests / 10 + 2);
   CHECK(retries >= kRequests / 10 - 1);
 }
 
-TEST_CASE("a quiet service may still retry now and then, never in a burst") {
+TEST_CASE("a quiet service may retry occasionally but not in a burst") {
   retry_budget budget(10);
   CHECK(budget.Allows(kNow));
   budget.Spend(kNow);
--- a/tests/decision/shift_account_test.cc
+++ b/tests/decision/shift_account_test.cc
@@ -34,15 +34,15 @@
   shift_account_ptr account(new shift_account("east"));
   account->SetCaps(
       {{.from = "west", .to = "east", .max_in_flight = cap, .initial = cap}},
-      {.seats = {0}, .seat_count = 1});
+      {.partitions = {0}, .partition_count = 1});
   return account;
 }
 
 }  // namespace
 
 TEST_CASE("a cap on a shift holds for all services together") {
-  // The west is lost and callers of two services turn to the east at once. If
-  // each service counted for itself, the east would get twice what its
+  // Region "west" is lost and callers of two services move to "east" at once.
+  // If each service counted on its own, "east" would get twice what its
   // operators declared, on cold caches.
   const auto account = CapOf(4);
   limits bounds;
@@ -70,7 +70,7 @@
 }
 
 TEST_CASE("the last unit of a shift goes to one of two threads") {
-  // Two services look at the same moment, and both see one unit left.
+  // Two services check at the same moment, and both see one free unit.
   const auto account = CapOf(100);
   std::vector<std::thread> threads;
   threads.reserve(4);
@@ -86,14 +86,14 @@
   CHECK(taken == 100);
 }
 
-TEST_CASE("work beyond the share of a given-up seat is seen") {
+TEST_CASE("work beyond the share is detected after a partition is released") {
   const auto account = CapOf(4);
   for (int i = 0; i < 3; ++i)
     REQUIRE(account->TryStart("west", kStart));
   CHECK_FALSE(account->IsOverLimit(kStart));
   account->SetCaps(
       {{.from = "west", .to = "east", .max_in_flight = 4, .initial = 4}},
-      {.seats = {0}, .seat_count = 2});
+      {.partitions = {0}, .partition_count = 2});
   CHECK(account->IsOverLimit(kStart));
   account->Release("west", kStart);
   CHECK_FALSE(account->IsOverLimit(kStart));
--- a/tests/decision/status_metrics_test.cc
+++ b/tests/decision/status_metrics_test.cc
@@ -7,8 +7,8 @@
 using namespace samphire;
 using namespace std::chrono_literals;
 
-// An operator looks at the metrics in the middle of an overload.
-TEST_CASE("the status shows queue, headroom, shifts and refusals as they are") {
+// An operator reads the metrics in the middle of an overload.
+TEST_CASE("status and metrics show queue, headroom, shifts and refusals") {
   dispatcher_fixture entry(2, 1);
   entry.slots.SetShiftCaps({{"lost", "home", 2, 1, 0}}, {{0}, 1});
   entry.Ask("reading", 1000ms, "lost");
--- a/tests/loans/loan_ledger_test.cc
+++ b/tests/loans/loan_ledger_test.cc
@@ -59,7 +59,7 @@
   CHECK(pair.LenderFree() == 1);
   const auto step = pair.ToBorrower(grant);
   REQUIRE(step.wakeups.size() == 1);
-  const auto slot = std::get<slot_grant>(step.wakeups[0].fate);
+  const auto slot = std::get<slot_grant>(step.wakeups[0].result);
   CHECK(slot.loan_id);
   pair.borrower.Finish(slot);
   const auto back = pair.Borrow().messages.at(0).message;
@@ -138,11 +138,11 @@
   loan_pair pair;
   const auto grant = pair.ToLender(pair.Ask()).messages.at(0).message;
   const auto step = pair.ToBorrower(grant);
-  const auto slot = std::get<slot_grant>(step.wakeups.at(0).fate);
+  const auto slot = std::get<slot_grant>(step.wakeups.at(0).result);
   pair.borrower.Ask("reading", 900ms);
   pair.Pass(251ms);
   CHECK(pair.borrower.Finish(slot).empty());
-  CHECK_FALSE(pair.borrower.slots.HoldsLoan(99));
+  CHECK_FALSE(pair.borrower.slots.HasLoan(99));
   pair.Borrow();
   CHECK(pair.borrower.slots.status(pair.now()).borrowed == 0);
 }
--- a/tests/loans/loan_property_test.cc
+++ b/tests/loans/loan_property_test.cc
@@ -207,7 +207,7 @@
 
   void Apply(std::uint32_t i, const std::vector<wakeup>& wakeups) {
     for (const auto& each : wakeups) {
-      if (const auto* grant = std::get_if<slot_grant>(&each.fate))
+      if (const auto* grant = std::get_if<slot_grant>(&each.result))
         Begin(i, *grant);
     }
   }
