--- a/bench/decisions/dispatched_region.cc
+++ b/bench/decisions/dispatched_region.cc
@@ -135,10 +135,10 @@
 void dispatched_region::ApplyWakeups(simulated_entry& entry,
                                      const std::vector<wakeup>& wakeups) {
   for (const auto& each : wakeups) {
-    if (const auto* grant = std::get_if<slot_grant>(&each.fate))
+    if (const auto* grant = std::get_if<slot_grant>(&each.result))
       StartRequest(entry, *grant);
     else
-      RecordRefusal(each.request_id, std::get<refusal>(each.fate).reason);
+      RecordRefusal(each.request_id, std::get<refusal>(each.result).reason);
   }
 }
 
--- a/src/libsamphire/allowance/loan_borrower.cc
+++ b/src/libsamphire/allowance/loan_borrower.cc
@@ -101,7 +101,7 @@
 void loan_borrower::Advance(time_point now) {
   ExpireRequests(now);
   ReturnIdle(now);
-  const auto demand = dispatcher_.WantsLoan(now);
+  const auto demand = dispatcher_.LoanDemand(now);
   if (demand && borrowing_) {
     Renew(*demand, now);
     RequestLoans(*demand, now);
@@ -124,7 +124,7 @@
 }
 
 void loan_borrower::ReturnIdle(time_point now) {
-  for (const auto id : dispatcher_.TakeIdleLoans(now)) {
+  for (const auto id : dispatcher_.RemoveIdleLoans(now)) {
     const auto found = loans_.find(id);
     const borrowed_slot slot = found->second;
     loans_.erase(found);
@@ -135,7 +135,7 @@
   }
 }
 
-void loan_borrower::Renew(const loan_wish& demand, time_point now) {
+void loan_borrower::Renew(const loan_demand& demand, time_point now) {
   for (auto& [id, slot] : loans_) {
     if (slot.renewal_requested || slot.usable_until <= now ||
         slot.usable_until - now > terms_.ttl / kRenewDivisor)
@@ -151,7 +151,7 @@
   }
 }
 
-void loan_borrower::RequestLoans(const loan_wish& demand, time_point now) {
+void loan_borrower::RequestLoans(const loan_demand& demand, time_point now) {
   if (lenders_.empty())
     return;
   for (auto i = OpenRequests(); i < demand.waits.size(); ++i)
--- a/src/libsamphire/allowance/loan_borrower.h
+++ b/src/libsamphire/allowance/loan_borrower.h
@@ -81,8 +81,8 @@
   void SendReturns(time_point now);
   void ExpireRequests(time_point now);
   void ReturnIdle(time_point now);
-  void Renew(const loan_wish& demand, time_point now);
-  void RequestLoans(const loan_wish& demand, time_point now);
+  void Renew(const loan_demand& demand, time_point now);
+  void RequestLoans(const loan_demand& demand, time_point now);
   void CancelRequests(time_point now);
   void SendRequest(const std::string& lender,
                    duration waited,
--- a/src/libsamphire/allowance/loan_lender.cc
+++ b/src/libsamphire/allowance/loan_lender.cc
@@ -122,7 +122,7 @@
   // Without this check, a borrower that always has waiting requests would keep
   // the slot forever while requests wait at the entry that owns it.
   const bool needed_here =
-      !lending_ || dispatcher_.WantsLoan(now).has_value() || !pending_.empty();
+      !lending_ || dispatcher_.LoanDemand(now).has_value() || !pending_.empty();
   if (!known || needed_here || !HasValidDurations(message)) {
     SendRefusal(from, message.service, message.borrower_incarnation,
                 message.request_id);
@@ -202,7 +202,7 @@
   if (oldest == reported_oldest_)
     return;
   reported_oldest_ = oldest;
-  QueueWakeups(dispatcher_.SetOldestAsk(oldest, now));
+  QueueWakeups(dispatcher_.SetOldestLoanRequest(oldest, now));
 }
 
 void loan_lender::CloseLoan(std::map<std::uint64_t, loan>::iterator closed,
