--- a/bench/limits/limit_run.cc
+++ b/bench/limits/limit_run.cc
@@ -24,7 +24,7 @@
 constexpr milliseconds kHotUntil{13'000};
 constexpr milliseconds kKillAt{9000};
 constexpr milliseconds kInterRegionDelay{40};
-// Window and tolerances of a limit, as installations declare them.
+// Window and tolerances of a limit, as declared by installations.
 constexpr milliseconds kWindow{5000};
 constexpr double kTolerance = 1.1;
 constexpr double kSlack = 20;
@@ -176,11 +176,11 @@
     }
   }
 
-  bool Take(std::size_t team, std::size_t asked) {
-    const auto grantor = GrantorOf(team, asked);
-    if (grantor != asked)
+  bool Take(std::size_t team, std::size_t receiver) {
+    const auto grantor = GrantorOf(team, receiver);
+    if (grantor != receiver)
       report_.messages += 2;
-    if (entries_[grantor].region != entries_[asked].region)
+    if (entries_[grantor].region != entries_[receiver].region)
       report_.inter_region_messages += 2;
     auto& permits = entries_[grantor].permits[team];
     const auto& limit = teams_[team].limit;
@@ -193,10 +193,10 @@
     return granted;
   }
 
-  std::size_t GrantorOf(std::size_t team, std::size_t asked) const {
+  std::size_t GrantorOf(std::size_t team, std::size_t receiver) const {
     if (mechanism_ == limit_mechanism::kEqualShares)
-      return asked;
-    const auto region = static_cast<std::size_t>(entries_[asked].region);
+      return receiver;
+    const auto region = static_cast<std::size_t>(entries_[receiver].region);
     const auto& names = mechanism_ == limit_mechanism::kFleetOwner
                             ? all_names_
                             : names_[region];
--- a/bench/routing.cc
+++ b/bench/routing.cc
@@ -1,4 +1,4 @@
-// Plays scenarios of placing under load and shows what became of the callers.
+// Runs placement scenarios under load and prints the results for callers.
 //   bench_routing [--only=NAME] [--seeds=N] [--without=MECHANISM,...] [--each]
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -9,40 +9,40 @@
 #include <string>
 #include <vector>
 
-#include "routing/lab_run.h"
+#include "routing/sim_run.h"
 
-ABSL_FLAG(std::string, only, "", "run only scenarios whose name holds this");
-ABSL_FLAG(int, seeds, 5, "seeds of each scenario, from 1");
-ABSL_FLAG(std::vector<std::string>, without, {}, "mechanisms to leave out");
-ABSL_FLAG(bool, each, false, "leave out each mechanism in turn as well");
+ABSL_FLAG(std::string, only, "", "run only scenarios whose name contains this");
+ABSL_FLAG(int, seeds, 5, "number of seeds per scenario, counted from 1");
+ABSL_FLAG(std::vector<std::string>, without, {}, "mechanisms to disable");
+ABSL_FLAG(bool, each, false, "also run with each mechanism disabled in turn");
 
 namespace samphire {
 
 namespace {
 
-// A figure over several seeds.
+// The mean and the standard deviation of a figure over several seeds.
 struct spread {
   double mean = 0;
   double deviation = 0;
 };
 
 template <typename F>
-spread Over(const std::vector<lab_report>& reports, F figure) {
+spread Summarize(const std::vector<sim_report>& reports, F figure) {
   const auto count = static_cast<double>(reports.size());
-  spread over;
+  spread summary;
   for (const auto& report : reports)
-    over.mean += figure(report) / count;
+    summary.mean += figure(report) / count;
   for (const auto& report : reports)
-    over.deviation += std::pow(figure(report) - over.mean, 2) / count;
-  over.deviation = std::sqrt(over.deviation);
-  return over;
+    summary.deviation += std::pow(figure(report) - summary.mean, 2) / count;
+  summary.deviation = std::sqrt(summary.deviation);
+  return summary;
 }
 
 double ShareOf(std::uint64_t part, std::uint64_t all) {
   return all == 0 ? 0 : static_cast<double>(part) / static_cast<double>(all);
 }
 
-void PrintHead() {
+void PrintHeader() {
   fmt::print(
       "{:16} {:18} {:>15} {:>6} {:>6} {:>6} {:>6} {:>6} {:>6} {:>6} {:>7} "
       "{:>7}\n",
@@ -50,12 +50,14 @@
       "cold", "refuse", "fail", "domains", "regions");
 }
 
-void PrintRow(const lab_scenario& scenario,
+void PrintRow(const sim_scenario& scenario,
               const std::string& without,
-              const std::vector<lab_report>& reports) {
+              const std::vector<sim_report>& reports) {
   const auto payoff =
-      Over(reports, [](const auto& r) { return r.all.payoff(); });
-  const auto mean = [&](auto figure) { return Over(reports, figure).mean; };
+      Summarize(reports, [](const auto& r) { return r.all.payoff(); });
+  const auto mean = [&](auto figure) {
+    return Summarize(reports, figure).mean;
+  };
   fmt::print(
       "{:16} {:18} {:.4f} +-{:.4f} {:6.3f} {:6.3f} {:6.3f} {:6.3f} {:6.3f} "
       "{:6.3f} {:6.3f} {:7.3f} {:7.3f}\n",
@@ -63,10 +65,13 @@
       mean([](const auto& r) { return r.worst_route(); }),
       mean([](const auto& r) { return r.worst_domain(); }),
       mean([](const auto& r) { return r.worst_second(); }),
-      mean([](const auto& r) { return ShareOf(r.all.late, r.all.asked); }),
-      mean([](const auto& r) { return ShareOf(r.all.late_cold, r.all.asked); }),
-      mean([](const auto& r) { return ShareOf(r.all.refused, r.all.asked); }),
-      mean([](const auto& r) { return ShareOf(r.all.failed, r.all.asked); }),
+      mean([](const auto& r) { return ShareOf(r.all.late, r.all.requests); }),
+      mean([](const auto& r) {
+        return ShareOf(r.all.late_cold, r.all.requests);
+      }),
+      mean(
+          [](const auto& r) { return ShareOf(r.all.refused, r.all.requests); }),
+      mean([](const auto& r) { return ShareOf(r.all.failed, r.all.requests); }),
       mean([](const auto& r) {
         return ShareOf(r.bytes_between_domains, r.bytes);
       }),
@@ -75,18 +80,18 @@
       }));
 }
 
-void Play(lab_scenario scenario, const std::string& without) {
-  std::vector<lab_report> reports;
+void RunScenario(sim_scenario scenario, const std::string& without) {
+  std::vector<sim_report> reports;
   for (int seed = 1; seed <= absl::GetFlag(FLAGS_seeds); ++seed) {
     scenario.seed = static_cast<std::uint64_t>(seed);
-    reports.push_back(RunLab(scenario));
+    reports.push_back(RunSimulation(scenario));
   }
   PrintRow(scenario, without, reports);
 }
 
 int Main() {
   const auto names = absl::GetFlag(FLAGS_without);
-  const auto without = MechanismsOf(names);
+  const auto without = ParseMechanisms(names);
   if (!without) {
     fmt::print(stderr, "{}\n", without.error().detail);
     return 2;
@@ -94,19 +99,19 @@
   fmt::print(
       "payoff: 1 in time, {} late, of all requests; worst route, domain "
       "and second; shares of requests and bytes\n",
-      lab_tally::kLateWorth);
-  PrintHead();
-  for (auto scenario : LabScenarios()) {
+      sim_tally::kLateValue);
+  PrintHeader();
+  for (auto scenario : SimScenarios()) {
     if (scenario.name.find(absl::GetFlag(FLAGS_only)) == std::string::npos)
       continue;
-    scenario.without = without.value();
-    Play(scenario,
-         names.empty() ? "-" : fmt::format("{}", fmt::join(names, ",")));
+    scenario.disabled = without.value();
+    RunScenario(scenario,
+                names.empty() ? "-" : fmt::format("{}", fmt::join(names, ",")));
     if (!absl::GetFlag(FLAGS_each))
       continue;
-    for (const auto& [mechanism, name] : kPlacingMechanismNames) {
-      scenario.without = {mechanism};
-      Play(scenario, std::string(name));
+    for (const auto& [mechanism, name] : kPlacementMechanismNames) {
+      scenario.disabled = {mechanism};
+      RunScenario(scenario, std::string(name));
     }
   }
   return 0;
--- a/src/libsamphire/routing/attempt_end.h
+++ b/src/libsamphire/routing/attempt_end.h
@@ -10,19 +10,20 @@
 
 namespace samphire {
 
-// How one attempt at a target ended.
+// The result of one attempt to run a request on a target.
 enum class attempt_result {
   kAnswered,
-  // The target answered with a failure of its own.
+  // The target ran the request and responded with an error of its own.
   kTargetError,
-  // The target said that it did not run the request.
+  // The target responded that it did not run the request.
   kTargetRefused,
-  // Another process has the address.
+  // The address now belongs to another process than the intended target.
   kMisdirected,
   kConnectFailed,
-  // Sent, and no whole answer came.
+  // The request was sent, but no complete response arrived.
   kLost,
   kTimedOut,
+  // The caller cancelled the request before the attempt ended.
   kCallerGone,
 };
 
@@ -37,12 +38,14 @@
     {attempt_result::kCallerGone, "caller-gone"},
 }};
 
+// Describes the end of one attempt to the component that placed it.
 struct attempt_end {
   attempt_result result = attempt_result::kLost;
-  // From the choice of the target to the head of its answer.
+  // Time from the choice of the target to the header of its response.
   duration took{0};
-  // Of the request's body and the answer's; 0 if not known.
+  // Sum of the request's and the response's body sizes; 0 if not known.
   std::uint64_t body_bytes = 0;
+  // The load that the target reported with the response, if any.
   std::optional<target_report> report;
 };
 
--- a/src/libsamphire/routing/decaying_average.cc
+++ b/src/libsamphire/routing/decaying_average.cc
@@ -13,9 +13,9 @@
 
 double decaying_average::At(time_point now) const {
   const std::chrono::duration<double, std::milli> since = now - set_at_;
-  const double kept =
-      std::exp(-since.count() / static_cast<double>(memory_.count()));
-  return value_ + (average_ - value_) * kept;
+  const double past_share =
+      std::exp(-since.count() / static_cast<double>(time_constant_.count()));
+  return value_ + (average_ - value_) * past_share;
 }
 
 }  // namespace samphire
--- a/src/libsamphire/routing/decaying_average.h
+++ b/src/libsamphire/routing/decaying_average.h
@@ -5,18 +5,20 @@
 
 namespace samphire {
 
-// The mean over time of a value that changes in steps, where the past counts
-// less the longer ago it is. Not thread-safe.
+// The exponentially weighted mean over time of a value that changes in steps:
+// the weight of the past decreases by a factor of e per time constant. Not
+// thread-safe.
 class decaying_average {
  public:
-  explicit decaying_average(milliseconds memory) : memory_(memory) {}
+  explicit decaying_average(milliseconds time_constant)
+      : time_constant_(time_constant) {}
 
-  // The value is `value` from `now` on.
+  // Sets the value that holds from `now` on.
   void Set(double value, time_point now);
   double At(time_point now) const;
 
  private:
-  milliseconds memory_;
+  milliseconds time_constant_;
   double value_ = 0;
   double average_ = 0;
   time_point set_at_;
--- a/src/libsamphire/routing/key_owner.cc
+++ b/src/libsamphire/routing/key_owner.cc
@@ -8,14 +8,16 @@
 
 namespace {
 
-// So few each see enough of every target, and asking costs messages and time.
-constexpr std::size_t kFewEntries = 6;
+// Up to this number of entries, each one sends enough requests to every target
+// to know its state, so placement by a key owner would only add messages and
+// latency.
+constexpr std::size_t kMaxEntriesWithoutOwner = 6;
 
 }  // namespace
 
 std::optional<std::size_t> KeyOwner(std::uint64_t key_hash,
                                     const std::vector<std::string>& entries) {
-  if (entries.size() <= kFewEntries)
+  if (entries.size() <= kMaxEntriesWithoutOwner)
     return std::nullopt;
   const auto owner =
       std::ranges::max_element(entries, {}, [key_hash](const auto& entry) {
--- a/src/libsamphire/routing/key_owner.h
+++ b/src/libsamphire/routing/key_owner.h
@@ -9,9 +9,11 @@
 
 namespace samphire {
 
-// Index of the entry that places a region's requests for a key; nothing where
-// entries are so few that each places its own. Entries that know the same
-// others choose alike, and one that comes or goes moves only its own keys.
+// Returns the index in `entries` of the entry that places all requests of a
+// region for a key. Returns nothing if the entries are so few that each places
+// its own requests. Uses rendezvous hashing: callers with the same set of
+// entries get the same owner, and an entry that joins or leaves moves only the
+// keys that it owns. Safe to call from any thread.
 std::optional<std::size_t> KeyOwner(std::uint64_t key_hash,
                                     const std::vector<std::string>& entries);
 
--- a/src/libsamphire/routing/lease_holder.h
+++ b/src/libsamphire/routing/lease_holder.h
@@ -7,7 +7,8 @@
 
 namespace samphire {
 
-// Whose lease: an entry's process, and its number for the attempt.
+// Identifies a placement lease: the entry process that makes the attempt, by
+// name and incarnation, and the id that it assigned to the attempt.
 struct lease_holder {
   std::string entry;
   std::uint64_t incarnation = 0;
--- a/src/libsamphire/routing/live_target.h
+++ b/src/libsamphire/routing/live_target.h
@@ -8,21 +8,25 @@
 
 namespace samphire {
 
-// A target as it last described itself.
+// A target according to the last description that it published.
 struct live_target {
-  // Of the process; another one that took over the address has another id.
+  // Identifies the process; a process that takes over the address has another
+  // id.
   std::string id;
   std::string address;
   std::string service;
   std::string failure_domain;
   std::string region;
+  // The number of requests that the target runs at the same time.
   std::uint32_t slots = 1;
-  // It leaves soon: no new work.
+  // The target shuts down soon and must not get new requests.
   bool draining = false;
-  // Still cold until then; long past for a warm one.
+  // The end of the time in which the target is cold, that is, not able to bear
+  // its full load yet; in the past for a warm target.
   time_point cold_until;
-  // Time of day of its start in ms. A later one under the same id is a process
-  // that knows nothing of the earlier one's work.
+  // The wall-clock time at which the process started, in ms. A later time under
+  // the same id denotes a new process without the requests, queue and cached
+  // keys of the earlier one.
   std::int64_t started_ms = 0;
 };
 
--- a/src/libsamphire/routing/mechanism_set.cc
+++ b/src/libsamphire/routing/mechanism_set.cc
@@ -2,15 +2,15 @@
 
 namespace samphire {
 
-// A name that means nothing would leave its mechanism on, and the figures of a
-// trial would then be taken for what it is worth.
-result<mechanism_set> MechanismsOf(const std::vector<std::string>& names) {
+// Rejects unknown names. If they were ignored, a misspelt mechanism would stay
+// enabled, and a measurement without it would give wrong results.
+result<mechanism_set> ParseMechanisms(const std::vector<std::string>& names) {
   mechanism_set set;
   for (const auto& name : names) {
-    const auto mechanism = ValueOf(kPlacingMechanismNames, name);
+    const auto mechanism = ValueOf(kPlacementMechanismNames, name);
     if (!mechanism)
       return MakeError(result_code::kSchemaViolation,
-                       "no such mechanism: " + name);
+                       "unknown placement mechanism: " + name);
     set.insert(*mechanism);
   }
   return set;
--- a/src/libsamphire/routing/mechanism_set.h
+++ b/src/libsamphire/routing/mechanism_set.h
@@ -6,15 +6,16 @@
 #include <vector>
 
 #include "base/result.h"
-#include "routing/placing_mechanism.h"
+#include "routing/placement_mechanism.h"
 
 namespace samphire {
 
-// The mechanisms that placing is to do without; usually none.
-using mechanism_set = std::set<placing_mechanism>;
+// Mechanisms that are disabled in placement. Empty in production.
+using mechanism_set = std::set<placement_mechanism>;
 
-// The set of these names. kSchemaViolation where a name means nothing.
-result<mechanism_set> MechanismsOf(const std::vector<std::string>& names);
+// Converts the names of kPlacementMechanismNames to a set. Fails with
+// kSchemaViolation if a name is unknown.
+result<mechanism_set> ParseMechanisms(const std::vector<std::string>& names);
 
 }  // namespace samphire
 
--- a/src/libsamphire/routing/message_size_estimate.h
+++ b/src/libsamphire/routing/message_size_estimate.h
@@ -5,11 +5,13 @@
 
 namespace samphire {
 
-// How many bytes a request of one route and its answer take together.
+// Estimates the total body size of a request and its response on one route, in
+// bytes. Not thread-safe.
 class message_size_estimate {
  public:
-  void Learn(std::uint64_t bytes);
-  // Whether an exchange whose request has `request_bytes` is large.
+  void AddSample(std::uint64_t bytes);
+  // Returns whether an exchange with a request body of `request_bytes` is
+  // expected to be large.
   bool IsLarge(std::uint64_t request_bytes) const;
 
  private:
--- a/src/libsamphire/routing/permit_decision.h
+++ b/src/libsamphire/routing/permit_decision.h
@@ -5,9 +5,10 @@
 
 namespace samphire {
 
+// The answer to an entry that needs a permit for one run of a team's request.
 struct permit_decision {
   bool granted = false;
-  // If not granted: the time after which the caller should retry.
+  // The time after which the caller should retry, if not granted.
   milliseconds retry_after{0};
 };
 
--- a/src/libsamphire/routing/permit_grantors.cc
+++ b/src/libsamphire/routing/permit_grantors.cc
@@ -12,17 +12,17 @@
   const auto hash = KeyHash(team);
   permit_grantors chosen;
   std::uint64_t owner_weight = 0;
-  std::uint64_t deputy_weight = 0;
+  std::uint64_t backup_weight = 0;
   for (std::size_t i = 0; i < entries.size(); ++i) {
     const auto weight = RendezvousWeight(hash, entries[i]);
     if (!chosen.owner || weight > owner_weight) {
-      chosen.deputy = chosen.owner;
-      deputy_weight = owner_weight;
+      chosen.backup = chosen.owner;
+      backup_weight = owner_weight;
       chosen.owner = i;
       owner_weight = weight;
-    } else if (!chosen.deputy || weight > deputy_weight) {
-      chosen.deputy = i;
-      deputy_weight = weight;
+    } else if (!chosen.backup || weight > backup_weight) {
+      chosen.backup = i;
+      backup_weight = weight;
     }
   }
   return chosen;
--- a/src/libsamphire/routing/permit_grantors.h
+++ b/src/libsamphire/routing/permit_grantors.h
@@ -12,11 +12,11 @@
 // Indexes of the entries that grant a team's permits.
 struct permit_grantors {
   std::optional<std::size_t> owner;
-  // Asked if the owner does not answer.
-  std::optional<std::size_t> deputy;
+  // Grants permits while the owner does not respond.
+  std::optional<std::size_t> backup;
 };
 
-// Chooses the owner and the deputy by rendezvous hashing. The result depends
+// Chooses the owner and its backup by rendezvous hashing. The result depends
 // only on the team and the set of entries.
 permit_grantors ChooseGrantors(std::string_view team,
                                const std::vector<std::string>& entries);
--- a/src/libsamphire/routing/permit_role.h
+++ b/src/libsamphire/routing/permit_role.h
@@ -7,18 +7,18 @@
 
 // The role in which an entry grants permits of a team.
 enum class permit_role {
-  // Chosen for the team among the region's entries by rendezvous hashing.
+  // Selected for the team among the region's entries by rendezvous hashing.
   kOwner,
-  // Stands in for an owner that does not answer.
-  kDeputy,
-  // Grants permits for its own requests only, as it reaches neither the owner
-  // nor the deputy.
+  // Acts while the owner does not respond.
+  kBackup,
+  // Grants permits for its own requests only, since it reaches neither the
+  // owner nor the backup.
   kAlone,
 };
 
 inline constexpr enum_names<permit_role, 3> kPermitRoleNames{{
     {permit_role::kOwner, "owner"},
-    {permit_role::kDeputy, "deputy"},
+    {permit_role::kBackup, "deputy"},
     {permit_role::kAlone, "alone"},
 }};
 
--- a/src/libsamphire/routing/permit_shares.cc
+++ b/src/libsamphire/routing/permit_shares.cc
@@ -8,7 +8,7 @@
 
 // Less than the owner's share, since both grant permits while only some entries
 // reach the owner.
-constexpr double kDeputyShare = 0.7;
+constexpr double kBackupShare = 0.7;
 // Less than an equal share, since the other entries may still count an isolated
 // one when they compute theirs.
 constexpr double kAloneShare = 0.5;
@@ -30,8 +30,8 @@
   switch (role) {
     case permit_role::kOwner:
       return region_share;
-    case permit_role::kDeputy:
-      return kDeputyShare * region_share;
+    case permit_role::kBackup:
+      return kBackupShare * region_share;
     case permit_role::kAlone:
       return kAloneShare * Fraction(1, fleet_peak);
   }
--- a/src/libsamphire/routing/permit_shares.h
+++ b/src/libsamphire/routing/permit_shares.h
@@ -19,8 +19,8 @@
   // Permits that each region may accumulate for a team, however small its
   // limit.
   double reserve = 0;
-  // Whether this entry has run long enough to know the others and be known by
-  // them.
+  // Whether this entry has run long enough to know the other entries and to be
+  // known by them.
   bool settled = true;
   // The last time the set of this region's entries changed.
   time_point unchanged_since;
--- a/src/libsamphire/routing/recent_peak.cc
+++ b/src/libsamphire/routing/recent_peak.cc
@@ -2,7 +2,7 @@
 
 namespace samphire {
 
-std::size_t recent_peak::Note(std::size_t value, time_point now) {
+std::size_t recent_peak::Add(std::size_t value, time_point now) {
   while (!peaks_.empty() && peaks_.back().second <= value)
     peaks_.pop_back();
   peaks_.emplace_back(now, value);
--- a/src/libsamphire/routing/recent_peak.h
+++ b/src/libsamphire/routing/recent_peak.h
@@ -9,17 +9,20 @@
 
 namespace samphire {
 
-// The largest value of a window of time that ends now. Not thread-safe.
+// The maximum of a value over a sliding window of time that ends now. Not
+// thread-safe.
 class recent_peak {
  public:
   explicit recent_peak(milliseconds window) : window_(window) {}
 
-  // Takes a value in and returns the largest of the window, it included.
-  std::size_t Note(std::size_t value, time_point now);
+  // Adds a value and returns the maximum over the window, including `value`.
+  // `now` must not decrease between calls.
+  std::size_t Add(std::size_t value, time_point now);
 
  private:
   const milliseconds window_;
-  // Falling values, each the largest of all that came after it.
+  // Values in decreasing order; each is the maximum of all values added after
+  // it.
   std::deque<std::pair<time_point, std::size_t>> peaks_;
 };
 
--- a/src/libsamphire/routing/region_plan.h
+++ b/src/libsamphire/routing/region_plan.h
@@ -6,22 +6,23 @@
 
 namespace samphire {
 
-// Room for a service by region, in slots.
-using region_room = std::map<std::string, double>;
-// The same by failure domain of one region.
-using domain_room = std::map<std::string, double>;
+// Capacity for one service by region, in slots.
+using region_capacity = std::map<std::string, double>;
+// Capacity for one service by failure domain of one region, in slots.
+using domain_capacity = std::map<std::string, double>;
 
-// How much of each region's room callers of the region `from` are to use, as
-// a factor from 0 to 1 for each region, if every region's callers ask alike.
-// Callers stay in their own region as far as its room goes; what is over goes
-// to the regions that have room left, in proportion to it.
-std::map<std::string, double> PlanRegions(const region_room& room,
+// Returns the fraction of each region's capacity that callers of region `from`
+// should use, from 0 to 1, under the assumption of equal demand in all regions.
+// Callers stay in their own region up to its capacity; the excess goes to
+// regions with free capacity, in proportion to it.
+std::map<std::string, double> PlanRegions(const region_capacity& capacity,
                                           const std::string& from);
 
-// How much of each failure domain's room in a region callers of its domain
-// `from` are to use, as a factor from 0 to 1 for each domain. All callers of
-// the region together use `region_factor` of its room, each domain's alike.
-std::map<std::string, double> PlanDomains(const domain_room& room,
+// Returns the fraction of each failure domain's capacity that callers of its
+// domain `from` should use, from 0 to 1. `capacity` covers the domains of one
+// region. All callers of the region together use `region_factor` of its
+// capacity, with equal demand in each domain.
+std::map<std::string, double> PlanDomains(const domain_capacity& capacity,
                                           const std::string& from,
                                           double region_factor);
 
--- a/src/libsamphire/routing/retry_bound.h
+++ b/src/libsamphire/routing/retry_bound.h
@@ -5,8 +5,9 @@
 
 namespace samphire {
 
-// How many attempts beyond the first of each request a service may get from
-// all entries together: in any `window`, `ratio` of its requests and `slack`.
+// The bound on retries for one service over all entries together. In any
+// interval of length `window`, the number of attempts beyond each request's
+// first is at most `ratio` times the number of requests plus `slack`.
 struct retry_bound {
   double ratio = 0.2;
   double slack = 60;
--- a/src/libsamphire/routing/retry_window.h
+++ b/src/libsamphire/routing/retry_window.h
@@ -9,13 +9,15 @@
 
 namespace samphire {
 
-// This entry's part of a bound on further attempts that holds for all entries
-// together, over any window of time. Not thread-safe.
+// Enforces one entry's share of a retry_bound, which holds for all entries
+// together over any window of time. Not thread-safe.
 class retry_window {
  public:
+  // Counts a request, which raises the bound on retries.
   void OnRequest(time_point now) { requests_.push_back(now); }
-  // Whether a further attempt is within the bound, which it then uses up.
-  // `entries` 0: how many there are is not known yet.
+  // Returns whether one more attempt is within the bound, and counts it if so.
+  // `entries` is the number of entries that share the bound; 0 if not known
+  // yet.
   bool TryTake(const retry_bound& bound, std::size_t entries, time_point now);
 
  private:
--- a/src/libsamphire/routing/route_part.h
+++ b/src/libsamphire/routing/route_part.h
@@ -5,10 +5,10 @@
 
 namespace samphire {
 
-// One of the services that a route divides its requests among.
+// One of the services among which a route divides its requests.
 struct route_part {
   std::string service;
-  // Relative to the other parts' weights.
+  // The share of requests relative to the weights of the other parts.
   double weight = 1;
 };
 
--- a/src/libsamphire/routing/service_time_estimate.h
+++ b/src/libsamphire/routing/service_time_estimate.h
@@ -7,23 +7,27 @@
 
 namespace samphire {
 
-// How long a target works on a request of one route, apart from queueing:
-// with its key in memory and without.
+// Estimates the time that a target works on a request of one route, excluding
+// queueing, for keys that the target has in memory and for keys that it has
+// not. Not thread-safe.
 class service_time_estimate {
  public:
-  // Until answers tell, the objective is taken for the time without the key.
+  // Uses the latency objective as the time without the key in memory until
+  // responses have been measured.
   explicit service_time_estimate(milliseconds objective);
 
-  void Learn(bool knows_key, double ms);
+  void AddSample(bool knows_key, double ms);
+  // Returns the estimate in ms.
   double Ms(bool knows_key) const { return knows_key ? warm_ms_ : cold_ms_; }
-  // Whether answers, not the objective, stand behind the estimate.
-  bool IsLearned(bool knows_key) const {
-    return (knows_key ? warm_count_ : cold_count_) >= kEnough;
+  // Returns whether the estimate is based on enough responses rather than on
+  // the objective.
+  bool IsMeasured(bool knows_key) const {
+    return (knows_key ? warm_count_ : cold_count_) >= kMinSamples;
   }
 
  private:
-  // Fewer may all be outliers.
-  static constexpr std::uint32_t kEnough = 5;
+  // With fewer samples, all of them may be outliers.
+  static constexpr std::uint32_t kMinSamples = 5;
 
   double warm_ms_;
   double cold_ms_;
--- a/src/libsamphire/routing/target_rank.h
+++ b/src/libsamphire/routing/target_rank.h
@@ -6,15 +6,16 @@
 
 namespace samphire {
 
-// The hash of an affinity key or, without one, of whatever tells a request
-// from others.
+// Returns the hash of an affinity key or, for requests without one, of any
+// value that distinguishes the request from others.
 std::uint64_t KeyHash(std::string_view key);
-// The same for a key of one route's requests.
+// Returns the hash of a key that belongs to one route's requests.
 std::uint64_t KeyHash(std::string_view route, std::string_view key);
 
-// How high a target ranks for a key, by weighted rendezvous hashing: every
-// entry that knows the same targets ranks them alike, a target that comes or
-// goes moves only its own keys, and each gets keys in proportion to `weight`.
+// Returns the rank of a target for a key by weighted rendezvous hashing; the
+// highest rank is the best. Entries that know the same targets rank them alike,
+// a target that joins or leaves moves only its own keys, and each target gets
+// keys in proportion to `weight`. Safe to call from any thread.
 double TargetRank(std::uint64_t key_hash,
                   std::string_view target_id,
                   double weight);
--- a/src/libsamphire/routing/target_record.cc
+++ b/src/libsamphire/routing/target_record.cc
@@ -7,28 +7,30 @@
 
 namespace {
 
-// Others' load as last reported is worth half after this time: about the time
-// in which a target's queue turns over.
+// The half-life of the weight of a target's load report: about the time in
+// which a target's queue turns over.
 constexpr double kReportHalfLifeMs = 800;
-// A key that this entry has not sent for so long may have been pushed out;
-// others may have sent it since.
-constexpr milliseconds kKeyMemory{60'000};
-// About what a target remembers; above it the oldest are dropped here too.
+// A key that this entry has not sent for this long may have been evicted from
+// the target's memory; other entries may have sent it since.
+constexpr milliseconds kKeyRetention{60'000};
+// About the number of keys that a target has in memory. Beyond it, the least
+// recently used one is dropped here too.
 constexpr std::size_t kMaxKeys = 64;
-// Lost answers in a row before a target is left alone. One alone may be a
-// connection that broke; a refused connection counts as two.
+// The number of consecutive lost responses after which a target is ejected. A
+// single one may be due to a broken connection; a refused connection ejects the
+// target at once.
 constexpr std::uint32_t kFailuresToEject = 2;
 constexpr milliseconds kFirstEjection{500};
 constexpr std::uint32_t kMaxEjectionStep = 4;
-// One outcome moves the share of failures by this much.
+// The weight of one result in the share of failures.
 constexpr double kFailureWeight = 0.12;
 constexpr double kSlownessWeight = 0.2;
 constexpr double kMaxSlowness = 12;
 constexpr milliseconds kColdWindow{1000};
 
-// An attempt that ran out of time speaks of the target's queue and speed, which
-// are counted by themselves. Taken for a failure as well, it drives all keys
-// off a target that is merely busy, and each has to be learned elsewhere.
+// A timeout indicates a long queue or a slow target, which are accounted for
+// separately. If it counted as a failure as well, all keys would move away from
+// a target that is merely busy, and other targets would have to load them.
 bool IsFailure(attempt_result result) {
   return result == attempt_result::kTargetError ||
          result == attempt_result::kConnectFailed ||
@@ -52,19 +54,21 @@
   cold_until_ = std::max(cold_until_, target.cold_until);
 }
 
-// Made for the first seconds and for targets that have just come: each entry
-// sends its callers' requests there, no answer has told of anybody else's yet,
-// and together they fill queues with requests that then time out. Entries get
-// callers alike, so what this entry has there in the mean tells what each peer
-// is likely to have. The report counts for more the fresher it is.
-double target_record::Load(double peers, time_point now) const {
+// Estimates the load that other entries cause while no report is available, in
+// the first seconds and for targets that have just started. Each entry sends
+// its callers' requests there without a response that reports the others' load,
+// and together they fill queues with requests that then time out. Callers are
+// spread evenly over entries, so this entry's mean load at the target indicates
+// that of each peer. The more recent a report is, the higher its weight.
+double target_record::Load(double peer_factor, time_point now) const {
   const auto age = LoadAge(now);
-  const double guess = peers * own_load_.At(now);
+  const double estimate = peer_factor * average_own_load_.At(now);
   if (!age)
-    return in_flight_ + guess;
-  const double fresh =
+    return in_flight_ + estimate;
+  const double report_weight =
       std::exp2(-static_cast<double>(age->count()) / kReportHalfLifeMs);
-  return in_flight_ + others_ * fresh + guess * (1 - fresh);
+  return in_flight_ + peer_load_ * report_weight +
+         estimate * (1 - report_weight);
 }
 
 std::optional<milliseconds> target_record::LoadAge(time_point now) const {
@@ -75,7 +79,7 @@
 
 bool target_record::KnowsKey(std::uint64_t key_hash, time_point now) const {
   const auto found = keys_.find(key_hash);
-  return found != keys_.end() && now - found->second < kKeyMemory;
+  return found != keys_.end() && now - found->second < kKeyRetention;
 }
 
 std::size_t target_record::ColdSends(time_point now) {
@@ -84,15 +88,15 @@
   return cold_sends_.size();
 }
 
-bool target_record::IsFit(time_point now) const {
+bool target_record::IsEligible(time_point now) const {
   if (misdirected_ || now < ejected_until_)
     return false;
-  return !on_trial_ || in_flight_ == 0;
+  return !half_open_ || in_flight_ == 0;
 }
 
 void target_record::Started(time_point now) {
   ++in_flight_;
-  own_load_.Set(in_flight_, now);
+  average_own_load_.Set(in_flight_, now);
   if (IsCold(now))
     cold_sends_.push_back(now);
 }
@@ -103,9 +107,9 @@
                                   const traffic_service* service,
                                   time_point now) {
   in_flight_ -= std::min(1U, in_flight_);
-  own_load_.Set(in_flight_, now);
+  average_own_load_.Set(in_flight_, now);
   if (end.report)
-    NoteReport(*end.report, now);
+    OnReport(*end.report, now);
   if (end.result == attempt_result::kMisdirected) {
     misdirected_ = true;
     return milliseconds{0};
@@ -124,12 +128,12 @@
     may_be_cold_ = true;
     pause = Eject(now);
   } else if (end.result == attempt_result::kLost) {
-    if (++failures_in_a_row_ >= kFailuresToEject)
+    if (++consecutive_failures_ >= kFailuresToEject)
       pause = Eject(now);
   } else {
-    failures_in_a_row_ = 0;
-    ejections_in_a_row_ = 0;
-    on_trial_ = false;
+    consecutive_failures_ = 0;
+    consecutive_ejections_ = 0;
+    half_open_ = false;
     if (may_be_cold_ && service != nullptr)
       cold_until_ = std::max(cold_until_, now + service->warm_up);
     may_be_cold_ = false;
@@ -145,21 +149,23 @@
   return pause;
 }
 
-// A crashed target comes back after some seconds, and every request sent there
-// meanwhile loses a connection attempt or, with a dead machine, half a second.
-// The pauses double, so that a target that stays away costs little.
+// A crashed target restarts after some seconds. Every request sent there in the
+// meantime costs a connection attempt or, if the machine is down, half a
+// second. The ejection time doubles, so that a target that stays down causes
+// little cost.
 milliseconds target_record::Eject(time_point now) {
-  const auto pause = kFirstEjection * (1U << ejections_in_a_row_);
+  const auto pause = kFirstEjection * (1U << consecutive_ejections_);
   ejected_until_ = now + pause;
-  ejections_in_a_row_ = std::min(ejections_in_a_row_ + 1, kMaxEjectionStep);
-  failures_in_a_row_ = 0;
-  on_trial_ = true;
+  consecutive_ejections_ =
+      std::min(consecutive_ejections_ + 1, kMaxEjectionStep);
+  consecutive_failures_ = 0;
+  half_open_ = true;
   return pause;
 }
 
-void target_record::NoteReport(const target_report& report, time_point now) {
+void target_record::OnReport(const target_report& report, time_point now) {
   const double all = report.running + report.waiting;
-  others_ = std::max(0.0, all - in_flight_);
+  peer_load_ = std::max(0.0, all - in_flight_);
   reported_at_ = now;
 }
 
--- a/src/libsamphire/routing/target_report.h
+++ b/src/libsamphire/routing/target_report.h
@@ -5,7 +5,8 @@
 
 namespace samphire {
 
-// What a target says of its load on an answer.
+// The load that a target reports with a response: the number of requests that
+// run and that wait in its queue, and the number of its slots.
 struct target_report {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
--- a/src/libsamphire/routing/target_set.cc
+++ b/src/libsamphire/routing/target_set.cc
@@ -7,7 +7,7 @@
 
 target_set::target_set(std::vector<live_target> targets,
                        std::set<std::string> evacuated_domains)
-    : evacuated_(std::move(evacuated_domains)), size_(targets.size()) {
+    : evacuated_domains_(std::move(evacuated_domains)), size_(targets.size()) {
   for (auto& target : targets)
     by_service_[target.service].push_back(std::move(target));
 }
@@ -30,7 +30,8 @@
 }
 
 bool target_set::IsOpen(const live_target& target) const {
-  return !target.draining && !evacuated_.contains(target.failure_domain);
+  return !target.draining &&
+         !evacuated_domains_.contains(target.failure_domain);
 }
 
 }  // namespace samphire
--- a/src/libsamphire/routing/target_set.h
+++ b/src/libsamphire/routing/target_set.h
@@ -13,8 +13,8 @@
 
 namespace samphire {
 
-// All targets that are known now, by service, and the failure domains that
-// are to get no work. Immutable.
+// All known targets by service, and the failure domains that are evacuated and
+// get no requests. Immutable, and therefore safe to use from any thread.
 class target_set
     : public boost::intrusive_ref_counter<target_set,
                                           boost::thread_safe_counter> {
@@ -22,18 +22,21 @@
   target_set(std::vector<live_target> targets,
              std::set<std::string> evacuated_domains);
 
-  // Every target of a service, open to new work or not.
+  // Returns every target of a service, whether or not it accepts new requests.
   const std::vector<live_target>& OfService(std::string_view service) const;
-  // Whether a target may be given new work.
+  // Returns whether a target may get new requests: it is neither draining nor
+  // in an evacuated failure domain.
   bool IsOpen(const live_target& target) const;
-  const std::set<std::string>& evacuated_domains() const { return evacuated_; }
+  const std::set<std::string>& evacuated_domains() const {
+    return evacuated_domains_;
+  }
   std::size_t size() const { return size_; }
-  // Targets that may be given new work.
+  // Returns the number of targets that may get new requests.
   std::size_t open_count() const;
 
  private:
   std::map<std::string, std::vector<live_target>, std::less<>> by_service_;
-  std::set<std::string> evacuated_;
+  std::set<std::string> evacuated_domains_;
   std::size_t size_;
 };
 
--- a/src/libsamphire/routing/team_permits.cc
+++ b/src/libsamphire/routing/team_permits.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-// A deputy grants permits for a few seconds only, so its bucket holds just
+// A backup grants permits for a few seconds only, so its bucket holds just
 // enough to absorb short bursts.
-constexpr double kDeputyBurstSeconds = 0.2;
+constexpr double kBackupBurstSeconds = 0.2;
 constexpr milliseconds kBorrowInterval{100};
 // Fraction of its capacity that an owner does not lend.
 constexpr double kRetainedFraction = 0.25;
@@ -39,9 +39,9 @@
   switch (role) {
     case permit_role::kOwner:
       return OwnerCapacity(limit, shares);
-    case permit_role::kDeputy:
+    case permit_role::kBackup:
       return std::max({1.0, shares.reserve,
-                       RateOf(role, limit, shares) * kDeputyBurstSeconds});
+                       RateOf(role, limit, shares) * kBackupBurstSeconds});
     case permit_role::kAlone:
       return 1;
   }
@@ -68,10 +68,10 @@
           owner_bucket_.emplace(shares.reserve,
                                 std::min(now, shares.unchanged_since));
         return *owner_bucket_;
-      case permit_role::kDeputy:
-        if (!deputy_bucket_)
-          deputy_bucket_.emplace(std::max(1.0, shares.reserve), now);
-        return *deputy_bucket_;
+      case permit_role::kBackup:
+        if (!backup_bucket_)
+          backup_bucket_.emplace(std::max(1.0, shares.reserve), now);
+        return *backup_bucket_;
       case permit_role::kAlone:
         break;
     }
@@ -105,7 +105,7 @@
                                 const team_limit& limit,
                                 const permit_shares& shares) {
   auto& bucket = role == permit_role::kOwner    ? owner_bucket_
-                 : role == permit_role::kDeputy ? deputy_bucket_
+                 : role == permit_role::kBackup ? backup_bucket_
                                                 : alone_bucket_;
   if (bucket)
     bucket->Add(1, CapacityOf(role, limit, shares));
--- a/src/libsamphire/routing/team_permits.h
+++ b/src/libsamphire/routing/team_permits.h
@@ -52,7 +52,7 @@
                        time_point now);
 
   std::optional<token_bucket> owner_bucket_;
-  std::optional<token_bucket> deputy_bucket_;
+  std::optional<token_bucket> backup_bucket_;
   std::optional<token_bucket> alone_bucket_;
   // The retry time given to the last refused caller.
   time_point next_retry_;
--- a/src/libsamphire/routing/traffic_limits.h
+++ b/src/libsamphire/routing/traffic_limits.h
@@ -7,7 +7,7 @@
 
 namespace samphire {
 
-// What a caller may send, and how long it may take or stay idle.
+// Limits on the size and the duration of what a caller sends.
 struct traffic_limits {
   std::uint32_t max_header_bytes = 16'384;
   std::uint64_t max_body_bytes = 1 << 20;
--- a/src/libsamphire/routing/traffic_manifest.cc
+++ b/src/libsamphire/routing/traffic_manifest.cc
@@ -36,7 +36,8 @@
   if (found == hosts_.end())
     return nullptr;
   path = path.substr(0, path.find('?'));
-  // Prefixes end with a slash, so only the path's own slashes can end one.
+  // Prefixes end with a slash, so only positions of slashes in the path can be
+  // the end of a prefix.
   for (auto end = path.rfind('/'); end != std::string_view::npos;
        end = path.rfind('/', end - 1)) {
     const auto route = found->second.find(path.substr(0, end + 1));
--- a/src/libsamphire/routing/traffic_manifest.h
+++ b/src/libsamphire/routing/traffic_manifest.h
@@ -18,7 +18,8 @@
 
 namespace samphire {
 
-// One version of the operator's configuration as requests read it. Immutable.
+// One version of the operator's configuration, indexed for lookups by request.
+// Immutable, and therefore safe to use from any thread.
 class traffic_manifest
     : public boost::intrusive_ref_counter<traffic_manifest,
                                           boost::thread_safe_counter> {
@@ -33,23 +34,24 @@
   const traffic_limits& limits() const { return limits_; }
   std::size_t route_count() const { return route_count_; }
 
-  // The route of `host` (a port is passed over) with the longest prefix that
-  // begins `path`; null if there is none.
+  // Returns the route of `host` with the longest prefix of `path`, or null if
+  // there is none. Ignores a port in `host` and a query in `path`.
   const traffic_route* FindRoute(std::string_view host,
                                  std::string_view path) const;
   const traffic_service* FindService(std::string_view name) const;
-  // Whether requests need an API key, except on routes that allow anonymous
-  // ones.
+  // Returns whether requests need an API key, except on routes that allow
+  // anonymous ones.
   bool has_teams() const { return !teams_.empty(); }
-  // The sum of all teams' rate limits in requests per second.
+  // Returns the sum of all teams' rate limits in requests per second.
   double total_team_rate() const { return total_team_rate_; }
   const traffic_team* FindTeam(std::string_view name) const;
   // Returns the team that `api_key` belongs to, or null.
   const traffic_team* FindTeamByApiKey(const std::string& api_key) const;
 
  private:
-  // By prefix. The longest match is found by looking up the path's own
-  // prefixes, so the time depends on the path and not on the routes.
+  // Routes of a host by prefix. A lookup tries the path's own prefixes from the
+  // longest on, so its time depends on the path and not on the number of
+  // routes.
   using prefix_map = std::map<std::string, traffic_route, std::less<>>;
 
   std::uint64_t version_;
--- a/src/libsamphire/routing/traffic_route.h
+++ b/src/libsamphire/routing/traffic_route.h
@@ -10,24 +10,25 @@
 
 namespace samphire {
 
-// What a host and path prefix lead to, and what its callers may expect.
+// The services for requests of a host and path prefix, and the guarantees to
+// its callers.
 struct traffic_route {
   std::string name;
   std::string host;
   // Begins and ends with a slash.
   std::string path_prefix;
   std::vector<route_part> parts;
-  // May run more than once.
+  // Whether a request may run more than once.
   bool idempotent = false;
-  // The longest that a caller is kept waiting.
+  // The longest time that a caller waits for a response.
   milliseconds timeout{0};
-  // An answer within this time is worth most to its caller.
+  // A response within this time has its full value for the caller.
   milliseconds latency_objective{0};
-  // Targets that may run one request.
+  // The maximum number of targets that one request is sent to.
   std::uint32_t max_attempts = 1;
-  // Requests need no API key.
+  // Whether requests need no API key.
   bool allows_anonymous = false;
-  // The only regions whose targets may run it; empty: any.
+  // The only regions whose targets may run the requests; any if empty.
   std::vector<std::string> home_regions;
 };
 
--- a/src/libsamphire/routing/traffic_service.h
+++ b/src/libsamphire/routing/traffic_service.h
@@ -7,12 +7,12 @@
 
 namespace samphire {
 
-// What all targets of one service have in common.
+// Properties shared by all targets of one service.
 struct traffic_service {
   std::string name;
-  // How long a target stays cold after a start under traffic.
+  // The time for which a target that starts under traffic stays cold.
   milliseconds warm_up{0};
-  // Requests a second that a cold target bears from all entries together.
+  // Requests per second that a cold target bears from all entries together.
   double cold_rate = 0;
 };
 
--- a/src/libsamphire/traffic/entry_list_builder.cc
+++ b/src/libsamphire/traffic/entry_list_builder.cc
@@ -62,9 +62,9 @@
       list->other_regions[region.digest.region].push_back(contact.peer_address);
     }
   }
-  const auto peak = fleet_sizes_.Note(std::max(size, least_fleet_), now);
+  const auto peak = fleet_sizes_.Add(std::max(size, least_fleet_), now);
   list->fleet_peak = peak;
-  list->region_peak = region_sizes_.Note(list->names.size(), now);
+  list->region_peak = region_sizes_.Add(list->names.size(), now);
   if (list->names != previous_names_) {
     previous_names_ = list->names;
     unchanged_since_ = now;
--- a/src/libsamphire/traffic/placed_request.h
+++ b/src/libsamphire/traffic/placed_request.h
@@ -4,13 +4,13 @@
 #include <cstdint>
 #include <string>
 
-#include "routing/placing.h"
+#include "routing/placement_result.h"
 
 namespace samphire {
 
 // Where an attempt goes, and who decided it.
 struct placed_request {
-  placing place;
+  placement_result place;
   // The entry that decided, by name and peer address; empty if it was this.
   std::string owner;
   std::string owner_address;
--- a/src/libsamphire/traffic/placing_client.h
+++ b/src/libsamphire/traffic/placing_client.h
@@ -12,7 +12,7 @@
 #include "peer/answer_waiter.h"
 #include "peer/peer_transport.h"
 #include "routing/attempt_end.h"
-#include "routing/placing_request.h"
+#include "routing/placement_criteria.h"
 #include "traffic/placing_messages.h"
 
 namespace samphire {
--- a/src/libsamphire/traffic/placing_server.cc
+++ b/src/libsamphire/traffic/placing_server.cc
@@ -12,7 +12,7 @@
 // An attempt ends with its caller's time; the news of it takes a little longer.
 constexpr milliseconds kLeaseMargin{1000};
 
-placing_request RequestOf(const placing_ask& ask) {
+placement_criteria RequestOf(const placing_ask& ask) {
   return {.route = ask.route,
           .key_hash = ask.key_hash,
           .body_bytes = ask.body_bytes,
@@ -33,7 +33,7 @@
               placed.load_age.value_or(kNeverTold).count())};
 }
 
-placing_answer AnswerOf(const placing_refusal& refusal) {
+placing_answer AnswerOf(const placement_refusal& refusal) {
   return {
       .verdict = placing_verdict::kRefused,
       .reason = static_cast<std::uint16_t>(refusal.reason),
@@ -98,7 +98,7 @@
       ask.service, [&](service_shard& shard) -> placing_answer {
         shard.ReleaseExpired(service, now);
         const bool elsewhere = ask.failure_domain != self.failure_domain;
-        if (!shard.leases.HasRoom() ||
+        if (!shard.leases.HasFreeCapacity() ||
             (elsewhere && shard.tracker.KeepsInDomain(request)))
           return {};
         const auto placed =
--- a/src/libsamphire/traffic/request_placer.cc
+++ b/src/libsamphire/traffic/request_placer.cc
@@ -40,7 +40,7 @@
     const target_set& targets,
     const entry_list& entries) {
   wish_.for_region = false;
-  if (context_.settings.without.contains(placing_mechanism::kKeyOwner) ||
+  if (context_.settings.without.contains(placement_mechanism::kKeyOwner) ||
       wish_.home_regions.size() > kMaxHomes ||
       wish_.excluded.size() > kMaxExcluded)
     return std::nullopt;
@@ -87,10 +87,11 @@
 
 // The owner's view of the targets may be older than this entry's: what has
 // left here since gets nothing more.
-std::optional<placing> request_placer::Read(const placing_answer& answer,
-                                            const target_set& targets) const {
+std::optional<placement_result> request_placer::Read(
+    const placing_answer& answer,
+    const target_set& targets) const {
   if (answer.verdict == placing_verdict::kRefused) {
-    return placing_refusal{
+    return placement_refusal{
         .reason = ResultCodeOf(answer.reason)
                       .value_or(result_code::kNoTargetAvailable),
         .retry_after = milliseconds(answer.retry_after_ms),
--- a/src/libsamphire/traffic/request_placer.h
+++ b/src/libsamphire/traffic/request_placer.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "routing/placing_request.h"
+#include "routing/placement_criteria.h"
 #include "traffic/placed_request.h"
 #include "traffic/placing_client.h"
 #include "traffic/traffic_context.h"
@@ -26,7 +26,7 @@
   milliseconds Ended(const placed_request& placed, const attempt_end& end);
   void Exclude(const std::string& target);
 
-  const placing_request& wish() const { return wish_; }
+  const placement_criteria& wish() const { return wish_; }
   const std::string& service() const { return service_; }
 
  private:
@@ -37,14 +37,14 @@
                            const entry_list& entries);
   placing_ask Ask() const;
   // Nothing if the owner's choice can't be used here.
-  std::optional<placing> Read(const placing_answer& answer,
-                              const target_set& targets) const;
+  std::optional<placement_result> Read(const placing_answer& answer,
+                                       const target_set& targets) const;
   const traffic_service* Service() const;
 
   traffic_context& context_;
   const traffic_request& request_;
   const std::string service_;
-  placing_request wish_;
+  placement_criteria wish_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/service_shards.h
+++ b/src/libsamphire/traffic/service_shards.h
@@ -7,7 +7,7 @@
 
 #include "base/sharded.h"
 #include "routing/mechanism_set.h"
-#include "routing/placing_leases.h"
+#include "routing/placement_leases.h"
 #include "routing/retry_window.h"
 #include "routing/service_tracker.h"
 #include "routing/weighted_split.h"
@@ -24,7 +24,7 @@
   service_tracker tracker;
   retry_window retries;
   // Of attempts that were placed here for peers.
-  placing_leases leases;
+  placement_leases leases;
 };
 
 // The state that requests decide by, each service's under a lock that few
--- a/src/libsamphire/traffic/source_plan.cc
+++ b/src/libsamphire/traffic/source_plan.cc
@@ -26,7 +26,7 @@
 // order of this entry's own: asked in one order by all, the first would carry
 // the whole region and the others nothing.
 std::vector<std::string> InOwnOrder(const std::vector<std::string>& chosen,
-                                    const entry_place& self,
+                                    const entry_location& self,
                                     const entry_list& entries) {
   std::vector<std::tuple<bool, std::uint64_t, std::string>> order;
   for (const auto& name : chosen) {
@@ -55,7 +55,7 @@
 // Made for large regions: if each entry turned to the platform by itself when
 // the watchers can't tell, an outage of a second would cost hundreds of calls,
 // and the platform would come back to a crowd.
-source_plan PlanSources(const entry_place& self, const entry_list& entries) {
+source_plan PlanSources(const entry_location& self, const entry_list& entries) {
   const auto count =
       entries.names.size() <= kSmallRegion ? kFewWatchers : kWatchers;
   auto watchers = PickByRendezvous("watcher", entries.names, count + kDeputies);
--- a/src/libsamphire/traffic/source_plan.h
+++ b/src/libsamphire/traffic/source_plan.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "routing/entry_place.h"
+#include "routing/entry_location.h"
 #include "traffic/entry_list.h"
 #include "traffic/source_role.h"
 
@@ -21,7 +21,7 @@
 };
 
 // All entries that know the same others agree on who watches.
-source_plan PlanSources(const entry_place& self, const entry_list& entries);
+source_plan PlanSources(const entry_location& self, const entry_list& entries);
 
 // Returns up to two of `deputies` to ask next. `stale_rounds` is the number of
 // preceding rounds in which peers had no fresh copy; successive rounds cycle
--- a/src/libsamphire/traffic/team_limiter.cc
+++ b/src/libsamphire/traffic/team_limiter.cc
@@ -93,7 +93,7 @@
   const auto grantors = ChooseGrantors(team, entries->names);
   const std::pair<std::optional<std::size_t>, permit_role> order[] = {
       {grantors.owner, permit_role::kOwner},
-      {grantors.deputy, permit_role::kDeputy}};
+      {grantors.backup, permit_role::kBackup}};
   for (const auto& [index, role] : order) {
     if (!index)
       continue;
@@ -352,7 +352,7 @@
 permit_role team_limiter::OwnRole(const std::string& team) const {
   const auto entries = state_.entries().Get();
   const auto owner = ChooseGrantors(team, entries->names).owner;
-  return IsSelf(*entries, owner) ? permit_role::kOwner : permit_role::kDeputy;
+  return IsSelf(*entries, owner) ? permit_role::kOwner : permit_role::kBackup;
 }
 
 const traffic_team* team_limiter::FindTeam(const traffic_manifest* manifest,
--- a/src/libsamphire/traffic/traffic_dispatcher.cc
+++ b/src/libsamphire/traffic/traffic_dispatcher.cc
@@ -65,7 +65,7 @@
   if (!TakePermit())
     return false;
   auto placed = placer_.Place();
-  if (const auto* refusal = std::get_if<placing_refusal>(&placed.place)) {
+  if (const auto* refusal = std::get_if<placement_refusal>(&placed.place)) {
     LogNoPlace(*refusal, placed.owner);
     FinishWithoutAttempt(refusal->reason, refusal->retry_after);
     return false;
@@ -252,7 +252,7 @@
        {"retry_after_ms", permit.decision.retry_after.count()}});
 }
 
-void traffic_dispatcher::LogNoPlace(const placing_refusal& refusal,
+void traffic_dispatcher::LogNoPlace(const placement_refusal& refusal,
                                     const std::string& owner) const {
   const auto targets = context_.state.targets();
   Log(log_level::kInfo, "no-place",
--- a/src/libsamphire/traffic/traffic_dispatcher.h
+++ b/src/libsamphire/traffic/traffic_dispatcher.h
@@ -6,7 +6,7 @@
 
 #include "gateway/answer_sink.h"
 #include "proxy/caller_watch.h"
-#include "routing/placing.h"
+#include "routing/placement_result.h"
 #include "traffic/placed_request.h"
 #include "traffic/request_placer.h"
 #include "traffic/target_exchange_end.h"
@@ -46,7 +46,7 @@
                   const target_exchange_end& end) const;
   void LogOutcome(result_code code, int status) const;
   void LogNoPermit(const team_permit& permit) const;
-  void LogNoPlace(const placing_refusal& refusal,
+  void LogNoPlace(const placement_refusal& refusal,
                   const std::string& owner) const;
 
   traffic_context& context_;
--- a/src/libsamphire/traffic/traffic_settings.h
+++ b/src/libsamphire/traffic/traffic_settings.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "routing/entry_place.h"
+#include "routing/entry_location.h"
 #include "routing/mechanism_set.h"
 #include "traffic/traffic_bounds.h"
 
@@ -14,7 +14,7 @@
 
 // How one entry of the host-and-path interface runs.
 struct traffic_settings {
-  entry_place place;
+  entry_location place;
   std::string caller_address;
   std::string readiness_address;
   std::string lookup_address;
--- a/tests/platform_adapter/readers_test.cc
+++ b/tests/platform_adapter/readers_test.cc
@@ -181,7 +181,7 @@
   const auto one = Replaced(kSettings, R"("bounds")",
                             R"("placing_without": ["region-plan"], "bounds")");
   CHECK(ReadSettings(one).value().traffic.without ==
-        mechanism_set{placing_mechanism::kRegionPlan});
+        mechanism_set{placement_mechanism::kRegionPlan});
   const auto misspelt = ReadSettings(Replaced(one, "region-plan", "region"));
   REQUIRE_FALSE(misspelt);
   CHECK(misspelt.error().code == result_code::kSchemaViolation);
--- a/tests/routing/decaying_average_test.cc
+++ b/tests/routing/decaying_average_test.cc
@@ -6,7 +6,7 @@
 using namespace samphire;
 using namespace std::chrono_literals;
 
-TEST_CASE("an average over time follows a step by its memory") {
+TEST_CASE("a decaying average follows a step with its time constant") {
   const time_point start{1h};
   decaying_average average(1000ms);
   average.Set(4, start);
--- a/tests/routing/key_owner_test.cc
+++ b/tests/routing/key_owner_test.cc
@@ -19,13 +19,13 @@
 
 }  // namespace
 
-TEST_CASE("nobody owns a key where entries are few") {
+TEST_CASE("keys have no owner if there are few entries") {
   CHECK_FALSE(KeyOwner(7, {}));
   CHECK_FALSE(KeyOwner(7, Entries(6)));
   CHECK(KeyOwner(7, Entries(7)));
 }
 
-TEST_CASE("entries have about as many keys each") {
+TEST_CASE("entries own about the same number of keys") {
   const auto names = Entries(10);
   std::map<std::size_t, int> keys;
   for (std::uint64_t key = 0; key < 10'000; ++key)
@@ -37,9 +37,10 @@
   }
 }
 
-// An entry is killed. If every key got another owner, all that owners know of
-// keys and queues would be lost at once, and each key would look new.
-TEST_CASE("an entry that goes moves its own keys only") {
+// Guards against a change of most keys' owners when an entry is killed. What
+// the owners know of keys and queues would be lost at once, and each key would
+// appear new.
+TEST_CASE("an entry that leaves moves only its own keys") {
   const auto all = Entries(10);
   auto left = all;
   left.erase(left.begin() + 3);
--- a/tests/routing/placing_leases_test.cc
+++ b/tests/routing/placement_leases_test.cc
@@ -1,4 +1,4 @@
-#include "routing/placing_leases.h"
+#include "routing/placement_leases.h"
 
 #include <catch2/catch.hpp>
 
@@ -9,8 +9,8 @@
 
 const time_point kStart{1h};
 
-placing_lease Lease(time_point expires) {
-  placing_lease lease;
+placement_lease Lease(time_point expires) {
+  placement_lease lease;
   lease.expires = expires;
   return lease;
 }
@@ -18,7 +18,7 @@
 }  // namespace
 
 TEST_CASE("a lease ends once") {
-  placing_leases leases;
+  placement_leases leases;
   leases.Grant({"entry-1", 1, 7}, Lease(kStart + 1s));
   CHECK_FALSE(leases.Take({"entry-1", 2, 7}));
   CHECK_FALSE(leases.Take({"entry-2", 1, 7}));
@@ -27,10 +27,11 @@
   CHECK(leases.TakeExpired(kStart + 2s).empty());
 }
 
-// An entry that was given a target is killed, or its news of the end is lost.
-// Counted for good, its work would make the target look full for ever.
-TEST_CASE("a lease whose end is never told expires") {
-  placing_leases leases;
+// Guards against an attempt that counts as load forever, which would make the
+// target appear full: the entry that makes the attempt is killed, or its report
+// of the end is lost.
+TEST_CASE("a lease whose end is never reported expires") {
+  placement_leases leases;
   leases.Grant({"entry-1", 1, 1}, Lease(kStart + 1s));
   leases.Grant({"entry-1", 1, 2}, Lease(kStart + 3s));
   CHECK(leases.TakeExpired(kStart).empty());
@@ -40,7 +41,7 @@
 }
 
 TEST_CASE("a lease that is granted again has the later expiry") {
-  placing_leases leases;
+  placement_leases leases;
   leases.Grant({"entry-1", 1, 1}, Lease(kStart + 1s));
   leases.Grant({"entry-1", 1, 1}, Lease(kStart + 2s));
   CHECK(leases.TakeExpired(kStart + 1s).empty());
--- a/tests/routing/retry_window_test.cc
+++ b/tests/routing/retry_window_test.cc
@@ -7,10 +7,10 @@
 using namespace samphire;
 using namespace std::chrono_literals;
 
-// Half of a service's targets fail; every entry wants to send each failed
-// request once more. Together they must stay within the service's bound in any
-// window, or the targets that still work drown in repeats.
-TEST_CASE("ten entries together keep the bound in every window") {
+// Guards against retries that overload the working targets. Half of a service's
+// targets fail, and every entry wants to retry each failed request once.
+// Together they must stay within the service's bound in any window.
+TEST_CASE("ten entries together stay within the retry bound in every window") {
   const retry_bound bound{.ratio = 0.2, .slack = 60, .window = 10s};
   constexpr std::size_t kEntries = 10;
   std::vector<retry_window> entries(kEntries);
@@ -29,8 +29,8 @@
     const auto within = [&](const time_point& t) {
       return t >= start && t < start + bound.window;
     };
-    const auto asked = std::count_if(requests.begin(), requests.end(), within);
-    const auto again = std::count_if(retries.begin(), retries.end(), within);
-    CHECK(double(again) <= bound.ratio * double(asked) + bound.slack);
+    const auto issued = std::count_if(requests.begin(), requests.end(), within);
+    const auto retried = std::count_if(retries.begin(), retries.end(), within);
+    CHECK(double(retried) <= bound.ratio * double(issued) + bound.slack);
   }
 }
--- a/tests/routing/shared_bounds_model_test.cc
+++ b/tests/routing/shared_bounds_model_test.cc
@@ -23,23 +23,25 @@
 constexpr int kRegions = 3;
 constexpr milliseconds kTick{100};
 constexpr milliseconds kSettleTime{5000};
-// What each entry is asked for in a tick: far more than the shares allow.
+// Requests and attempts at cold targets per entry and tick: far more than the
+// shares allow.
 constexpr int kRequests = 4;
-constexpr int kColdTries = 6;
+constexpr int kColdAttempts = 6;
 
-// Bounds as installations declare them.
+// Bounds as declared by installations.
 const retry_bound kRetries{.ratio = 0.2, .slack = 60, .window = 10'000ms};
 constexpr double kColdRate = 11;
-constexpr double kColdMost = kColdRate * 1.5 + 5;
+constexpr double kMaxColdSends = kColdRate * 1.5 + 5;
 
-// A team that always exceeds its limit, and its maximum of permits in a window.
+// A team that always exceeds its limit, and the maximum number of its permits
+// in a window.
 const std::string kTeam = "team";
 constexpr team_limit kLimit{.rate = 100, .burst = 100};
 constexpr milliseconds kLimitWindow{5000};
 constexpr double kMaxPermits = (100 * 5 + 100) * 1.1 + 20;
 constexpr double kReserve = 0.4 * 20 / kRegions;
 constexpr int kTeamRequests = 45;
-// Time that an entry takes to load its configuration after a start.
+// The time that an entry takes to load its configuration after a start.
 constexpr milliseconds kConfigLoadTime{1000};
 constexpr milliseconds kStartupTime{2500};
 // An installation has at least two failure domains per region.
@@ -49,20 +51,21 @@
   return std::string(1, static_cast<char>('a' + i));
 }
 
-// Events in windows of time.
+// Counts events in sliding windows of time.
 class sliding_count {
  public:
   explicit sliding_count(milliseconds window) : window_(window) {}
   void Add(time_point now) { times_.push_back(now); }
-  // In the window that ends at `end`.
+  // Returns the number of events in the window that ends at `end`.
   double Count(time_point end) const {
     const auto last = std::upper_bound(times_.begin(), times_.end(), end);
     const auto first =
         std::upper_bound(times_.begin(), times_.end(), end - window_);
     return static_cast<double>(last - first);
   }
-  // In this window, the one before it or the one between, whichever has most.
-  double MostLately(time_point end) const {
+  // Returns the maximum of the window that ends at `end`, the one before it and
+  // the one halfway between them.
+  double RecentMax(time_point end) const {
     return std::max(
         {Count(end), Count(end - window_ / 2), Count(end - window_)});
   }
@@ -73,7 +76,7 @@
 };
 
 struct modelled_entry {
-  entry_place place;
+  entry_location place;
   bool up = false;
   bool paused = false;
   std::uint64_t incarnation = 0;
@@ -88,14 +91,14 @@
   std::map<std::string, std::string> contacts;
 };
 
-// Entries with real membership over a bad network, all of which want to repeat
-// every request and to send all they have to targets that are cold.
+// Entries with real membership over a faulty network, all of which try to retry
+// every request and to send as much as possible to cold targets.
 class modelled_fleet {
  public:
-  modelled_fleet(std::uint64_t seed, int entries_of_region)
-      : entries_of_region_(entries_of_region), random_(seed), world_(seed) {
+  modelled_fleet(std::uint64_t seed, int entries_per_region)
+      : entries_per_region_(entries_per_region), random_(seed), world_(seed) {
     for (int region = 0; region < kRegions; ++region) {
-      for (int i = 0; i < entries_of_region; ++i) {
+      for (int i = 0; i < entries_per_region; ++i) {
         modelled_entry one;
         one.place.region = RegionName(region);
         one.place.failure_domain = one.place.region + "-1";
@@ -116,11 +119,11 @@
     const auto end = world_.network.now() + time;
     while (world_.network.now() < end) {
       if (random_() % 15 == 0)
-        Strike();
+        InjectFault();
       world_.Run(kTick);
       for (auto& each : entries_) {
         if (each.up && !each.paused)
-          Ask(each);
+          IssueRequests(each);
       }
       Check();
     }
@@ -160,7 +163,7 @@
     one.contacts.clear();
   }
 
-  void Strike() {
+  void InjectFault() {
     auto& one = entries_[random_() % entries_.size()];
     switch (random_() % 8) {
       case 0:
@@ -171,7 +174,7 @@
           Start(one);
         break;
       case 2:
-        // All at once, and back at once.
+        // Restarts all entries at the same time.
         for (auto& each : entries_) {
           Crash(each);
           Start(each);
@@ -201,7 +204,7 @@
     one.up = false;
   }
 
-  void Ask(modelled_entry& one) {
+  void IssueRequests(modelled_entry& one) {
     const auto now = world_.network.now();
     const auto list = ListOf(one, now);
     for (int i = 0; i < kRequests; ++i) {
@@ -212,7 +215,7 @@
         took_retries_ = true;
       }
     }
-    for (int i = 0; i < kColdTries; ++i)
+    for (int i = 0; i < kColdAttempts; ++i)
       SendCold(one, list->region_sharers, now);
     if (now - one.started < kConfigLoadTime)
       return;
@@ -234,19 +237,19 @@
     return kLimit.rate / (kLimit.rate + others);
   }
 
-  // Mirrors team_limiter::Take: the owner, the deputy, then this entry alone.
+  // Mirrors team_limiter::Take: the owner, the backup, then this entry alone.
   void TakePermit(modelled_entry& one, const entry_list& list, time_point now) {
     if (list.names.size() <= 1 && list.other_regions.empty()) {
       Grant(one, list, permit_role::kAlone, now);
       return;
     }
     const auto grantors = ChooseGrantors(kTeam, list.names);
-    for (const auto& index : {grantors.owner, grantors.deputy}) {
-      auto* asked = index ? FindReachable(one, list.names[*index]) : nullptr;
-      if (asked == nullptr)
+    for (const auto& index : {grantors.owner, grantors.backup}) {
+      auto* peer = index ? FindReachable(one, list.names[*index]) : nullptr;
+      if (peer == nullptr)
         continue;
-      const auto view = ListOf(*asked, now);
-      Grant(*asked, *view, RoleOf(*asked, *view), now);
+      const auto view = ListOf(*peer, now);
+      Grant(*peer, *view, RoleOf(*peer, *view), now);
       return;
     }
     Grant(one, list, permit_role::kAlone, now);
@@ -266,7 +269,7 @@
     const auto owner = ChooseGrantors(kTeam, list.names).owner;
     return owner && list.names[*owner] == one.place.instance
                ? permit_role::kOwner
-               : permit_role::kDeputy;
+               : permit_role::kBackup;
   }
   void Grant(modelled_entry& one,
              const entry_list& list,
@@ -285,8 +288,8 @@
         one.permits.ShouldBorrow(kLimit, shares, now))
       Borrow(one, shares, now);
   }
-  // Asks one entry of each other region, which answers with the owner to ask
-  // next time.
+  // Sends a request to one entry of each other region, whose response names the
+  // owner to use next time.
   void Borrow(modelled_entry& one,
               const permit_shares& shares,
               time_point now) {
@@ -298,16 +301,16 @@
       if (contact.empty())
         contact = region + "-" +
                   std::to_string(random_() %
-                                 static_cast<unsigned>(entries_of_region_));
-      auto* asked = FindReachable(one, std::exchange(contact, ""));
-      if (asked == nullptr)
+                                 static_cast<unsigned>(entries_per_region_));
+      auto* peer = FindReachable(one, std::exchange(contact, ""));
+      if (peer == nullptr)
         continue;
-      const auto view = ListOf(*asked, now);
+      const auto view = ListOf(*peer, now);
       const auto owner = ChooseGrantors(kTeam, view->names).owner;
       contact = owner ? view->names[*owner] : "";
-      if (contact != asked->place.instance)
+      if (contact != peer->place.instance)
         continue;
-      const auto lent = asked->permits.Lend(kLimit, SharesOf(*view), now);
+      const auto lent = peer->permits.Lend(kLimit, SharesOf(*view), now);
       one.permits.OnBorrowed(lent, kLimit, shares, now);
     }
   }
@@ -337,37 +340,37 @@
                 time_point now) {
     const traffic_service service{
         .name = "s", .warm_up = 3000ms, .cold_rate = kColdRate};
-    placing_request wish;
-    wish.route = "r";
-    wish.key_hash = random_();
-    wish.objective = 500ms;
-    wish.time_left = 2000ms;
-    const auto placed =
-        one.tracker.Place(wish, *set_, &service, "s", one.place, known, now);
+    placement_criteria criteria;
+    criteria.route = "r";
+    criteria.key_hash = random_();
+    criteria.objective = 500ms;
+    criteria.time_left = 2000ms;
+    const auto placed = one.tracker.Place(criteria, *set_, &service, "s",
+                                          one.place, known, now);
     const auto* attempt = std::get_if<placed_attempt>(&placed);
     if (attempt == nullptr)
       return;
     cold_sends_.at(attempt->target.id).Add(now);
     sent_cold_ = true;
     one.tracker.Ended(
-        wish, *attempt,
+        criteria, *attempt,
         {.result = attempt_result::kAnswered, .took = 100ms, .report = {}},
         &service, now);
   }
 
   void Check() {
     const auto now = world_.network.now();
-    const double most =
-        kRetries.ratio * requests_.MostLately(now) + kRetries.slack;
-    REQUIRE(retries_.Count(now) <= most);
+    const double limit =
+        kRetries.ratio * requests_.RecentMax(now) + kRetries.slack;
+    REQUIRE(retries_.Count(now) <= limit);
     REQUIRE(permits_.Count(now) <= kMaxPermits);
     for (const auto& [target, sends] : cold_sends_) {
       INFO(target);
-      REQUIRE(sends.Count(now) <= kColdMost);
+      REQUIRE(sends.Count(now) <= kMaxColdSends);
     }
   }
 
-  const int entries_of_region_;
+  const int entries_per_region_;
   std::mt19937_64 random_;
   membership_world world_;
   std::vector<modelled_entry> entries_;
@@ -385,17 +388,17 @@
 
 }  // namespace
 
-// Entries can't ask each other for every request, yet what they do together is
-// bounded: how often requests are repeated, and how much a cold target gets.
-// They crash one by one and all at once, stand still, are cut off and lose
-// messages, so that each has its own idea of who else is there. Shares that
-// don't add up show as targets that crash as soon as they have started, or as
-// repeats that drown the targets that still work.
-TEST_CASE("bounds that all entries share hold whatever each knows of others") {
-  const int entries_of_region = GENERATE(2, 4, 10);
+// Guards against shares that add up to more than the bounds on retries, team
+// permits and load on cold targets, which hold for all entries together
+// although entries can't coordinate for every request. Entries crash one by one
+// and all at once, pause, are cut off and lose messages, so that each has its
+// own view of the others. Shares that don't add up would crash targets that
+// have just started, or let retries overload the targets that still work.
+TEST_CASE("bounds shared by all entries hold with any view of membership") {
+  const int entries_per_region = GENERATE(2, 4, 10);
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    INFO(entries_of_region << " entries a region, seed " << seed);
-    modelled_fleet fleet(seed, entries_of_region);
+    INFO(entries_per_region << " entries a region, seed " << seed);
+    modelled_fleet fleet(seed, entries_per_region);
     fleet.Run(60s);
     CHECK(fleet.took_retries());
     CHECK(fleet.sent_cold());
--- a/tests/routing/source_plan_test.cc
+++ b/tests/routing/source_plan_test.cc
@@ -19,26 +19,27 @@
   return entries;
 }
 
-entry_place Place(int i) {
+entry_location Place(int i) {
   return {"entry-" + std::to_string(i), "domain-" + std::to_string(i % 3), "a"};
 }
 
 }  // namespace
 
-// Everybody in a large region follows the same watcher, whose core and link are
-// then busy with nothing else; new configurations reach the last entries late.
-TEST_CASE("watchers of a region share its followers") {
+// Guards against a large region in which all entries follow the same watcher:
+// its core and link would be fully used by that, and new configurations would
+// reach the last entries late.
+TEST_CASE("watchers of a region divide its followers") {
   constexpr int kEntries = 100;
   constexpr int kMostFollowers = 70;
   const auto entries = Region(kEntries);
   std::map<std::string, int> followers;
   int watchers = 0;
   for (int i = 0; i < kEntries; ++i) {
-    const auto asked = PlanSources(Place(i), entries).watchers;
-    if (asked.empty())
+    const auto sources = PlanSources(Place(i), entries).watchers;
+    if (sources.empty())
       ++watchers;
     else
-      ++followers[asked.front()];
+      ++followers[sources.front()];
   }
   CHECK(watchers == 2);
   CHECK(followers.size() == 2);
@@ -47,8 +48,8 @@
 }
 
 // Guards against a follower that keeps an outdated configuration because it
-// only ever asks deputies that the platform rejects.
-TEST_CASE("a follower asks the next deputies after a stale round") {
+// only ever sends requests to backup watchers that the platform rejects.
+TEST_CASE("a follower uses the next backup watchers after a stale round") {
   const std::vector<std::string> deputies = {"a", "b", "c", "d"};
   CHECK(DeputiesToAsk(deputies, 0) == std::vector<std::string>{"a", "b"});
   CHECK(DeputiesToAsk(deputies, 1) == std::vector<std::string>{"c", "d"});
@@ -59,7 +60,7 @@
   CHECK(DeputiesToAsk({}, 1).empty());
 }
 
-TEST_CASE("a watcher of the own failure domain is asked first") {
+TEST_CASE("a watcher in the same failure domain is preferred") {
   const auto entries = Region(30);
   std::set<std::string> near;
   for (int i = 0; i < 30; ++i) {
@@ -67,15 +68,15 @@
       near.insert(Place(i).failure_domain);
   }
   for (int i = 0; i < 30; ++i) {
-    const auto asked = PlanSources(Place(i), entries).watchers;
-    if (asked.empty() || !near.contains(Place(i).failure_domain))
+    const auto sources = PlanSources(Place(i), entries).watchers;
+    if (sources.empty() || !near.contains(Place(i).failure_domain))
       continue;
-    const auto first = std::stoi(asked.front().substr(5));
+    const auto first = std::stoi(sources.front().substr(5));
     CHECK(Place(first).failure_domain == Place(i).failure_domain);
   }
 }
 
-TEST_CASE("a small region has one watcher, which asks nobody") {
+TEST_CASE("a small region has one watcher, which follows no other") {
   const auto entries = Region(4);
   int watchers = 0;
   for (int i = 0; i < 4; ++i)
@@ -83,10 +84,11 @@
   CHECK(watchers == 1);
 }
 
-// The platform is away for a moment and no watcher can tell. A hundred entries
-// that each ask it themselves are a hundred calls a second and more, and it
-// comes back to all of them at once.
-TEST_CASE("a few deputies ask the platform when the watchers can't tell") {
+// Guards against overload of a platform that is unavailable for a moment, so
+// that no watcher can provide its state. A hundred entries that each poll it
+// make a hundred calls a second and more, all of them when it recovers.
+TEST_CASE(
+    "only a few backup watchers poll the platform when the watchers fail") {
   const auto entries = Region(100);
   std::map<source_role, int> roles;
   std::set<std::string> deputies;
--- a/tests/routing/target_record_test.cc
+++ b/tests/routing/target_record_test.cc
@@ -20,15 +20,15 @@
 
 }  // namespace
 
-// A burst fills a target's queue, and requests time out in it. It fails none of
-// them; taken for a failing one it would lose all its keys to targets that have
-// to learn them, and callers would wait three times as long there.
-TEST_CASE("a target whose requests time out is not one that fails in part") {
-  CHECK_FALSE(After(attempt_result::kTimedOut, 20).fails_in_part());
+// Guards against treating timeouts in a full queue as failures. After a burst,
+// the target would lose all its keys to targets that have to load them, and
+// callers would wait three times as long there.
+TEST_CASE("timeouts do not mark a target as partially failing") {
+  CHECK_FALSE(After(attempt_result::kTimedOut, 20).fails_partially());
 }
 
-TEST_CASE("a target that fails what it runs fails in part") {
-  CHECK(After(attempt_result::kTargetError, 20).fails_in_part());
-  CHECK(After(attempt_result::kLost, 20).fails_in_part());
-  CHECK_FALSE(After(attempt_result::kAnswered, 20).fails_in_part());
+TEST_CASE("errors and lost responses mark a target as partially failing") {
+  CHECK(After(attempt_result::kTargetError, 20).fails_partially());
+  CHECK(After(attempt_result::kLost, 20).fails_partially());
+  CHECK_FALSE(After(attempt_result::kAnswered, 20).fails_partially());
 }
--- a/tests/routing/team_permits_test.cc
+++ b/tests/routing/team_permits_test.cc
@@ -130,7 +130,7 @@
 
 // Guards against a team exceeding its limit after a restart of all entries,
 // which then have no record of its usage and don't know each other.
-TEST_CASE("the startup allowance limits a team far over its share") {
+TEST_CASE("the startup allowance limits a team far above its share") {
   startup_allowance allowance;
   int hot = 0;
   int usual = 0;
@@ -143,22 +143,22 @@
   CHECK(hot >= 30);
 }
 
-TEST_CASE("the deputy becomes the owner when the owner is gone") {
+TEST_CASE("the backup becomes the owner when the owner is gone") {
   const std::vector<std::string> names = {"a", "b", "c", "d"};
   const auto chosen = ChooseGrantors("team", names);
   REQUIRE(chosen.owner);
-  REQUIRE(chosen.deputy);
+  REQUIRE(chosen.backup);
   auto without = names;
   without.erase(without.begin() + static_cast<std::ptrdiff_t>(*chosen.owner));
   const auto next = ChooseGrantors("team", without);
-  CHECK(without[*next.owner] == names[*chosen.deputy]);
+  CHECK(without[*next.owner] == names[*chosen.backup]);
   CHECK_FALSE(ChooseGrantors("team", {}).owner);
-  CHECK_FALSE(ChooseGrantors("team", {"a"}).deputy);
+  CHECK_FALSE(ChooseGrantors("team", {"a"}).backup);
 }
 
 // Guards against a team at nine times its usual rate exceeding its limit or
 // causing refusals for other teams.
-TEST_CASE("a hot team is held to its limit without refusals for others") {
+TEST_CASE("a hot team stays within its limit without refusals for others") {
   for (const auto& scenario : kLimitScenarios) {
     if (scenario.entries > 100)
       continue;
--- a/tests/routing/weighted_split_test.cc
+++ b/tests/routing/weighted_split_test.cc
@@ -8,10 +8,11 @@
 
 using namespace samphire;
 
-// One key is asked for far more than the others. Cut by key alone, its part
-// gets far more than its weight: the operator who sent one in ten to a new
-// service sees half of the traffic there.
-TEST_CASE("each part gets its weight though one key is most of the demand") {
+// Guards against a division by key alone when one key has far more requests
+// than the others. Its part would get far more than its weight: an operator who
+// sends one in ten requests to a new service would see half of the traffic
+// there.
+TEST_CASE("each part gets its weight even if one key dominates the demand") {
   const std::vector<route_part> parts = {{"a", 90}, {"b", 10}};
   weighted_split split;
   std::mt19937 random(7);
@@ -24,7 +25,7 @@
   CHECK(std::abs(to_b / double{kRequests} - 0.1) < 0.04);
 }
 
-TEST_CASE("with many keys a key mostly keeps its part") {
+TEST_CASE("with many keys, most requests go to the part of their key") {
   const std::vector<route_part> parts = {{"a", 50}, {"b", 50}};
   weighted_split split;
   std::mt19937 random(7);
@@ -38,7 +39,7 @@
   CHECK(kept > kRequests * 0.85);
 }
 
-TEST_CASE("a changed weight is followed within some hundred requests") {
+TEST_CASE("the shares follow a changed weight within some hundred requests") {
   weighted_split split;
   std::mt19937 random(7);
   const auto run = [&](double weight, int requests) {
--- a/tests/traffic/team_limiter_test.cc
+++ b/tests/traffic/team_limiter_test.cc
@@ -109,7 +109,7 @@
   r.other->transport.holds = true;
   const auto permit = r.other->limiter.Take(kTeam);
   CHECK(permit.decision.granted);
-  CHECK(permit.role == permit_role::kDeputy);
+  CHECK(permit.role == permit_role::kBackup);
   r.other->TakeAll();
   CHECK(r.other->transport.sent.size() == 1);
   r.clock.Advance(1s);
