--- a/src/libsamphire/traffic/placed_request.h
+++ b/src/libsamphire/traffic/placed_request.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "routing/placing.h"
+#include "routing/placement_result.h"
 
 namespace samphire {
 
@@ -12,7 +12,7 @@
 // made it.
 struct placed_request {
   // The chosen target, or why the attempt is refused.
-  placing decision;
+  placement_result decision;
   // Name and peer address of the key's owner if it decided; empty if this entry
   // decided.
   std::string owner;
--- a/src/libsamphire/traffic/placement_server.cc
+++ b/src/libsamphire/traffic/placement_server.cc
@@ -14,7 +14,7 @@
 // slightly later.
 constexpr milliseconds kLeaseMargin{1000};
 
-placing_request CriteriaOf(const remote_placement_request& query) {
+placement_criteria CriteriaOf(const remote_placement_request& query) {
   return {.route = query.route,
           .key_hash = query.key_hash,
           .body_bytes = query.body_bytes,
@@ -35,7 +35,7 @@
               placed.load_age.value_or(kNeverReported).count())};
 }
 
-remote_placement_response ResponseOf(const placing_refusal& refusal) {
+remote_placement_response ResponseOf(const placement_refusal& refusal) {
   return {
       .verdict = remote_placement_verdict::kRefused,
       .reason = static_cast<std::uint16_t>(refusal.reason),
@@ -104,7 +104,7 @@
       query.service, [&](service_shard& shard) -> remote_placement_response {
         shard.ReleaseExpired(service, now);
         const bool elsewhere = query.failure_domain != self.failure_domain;
-        if (!shard.leases.HasRoom() ||
+        if (!shard.leases.HasFreeCapacity() ||
             (elsewhere && shard.tracker.KeepsInDomain(criteria)))
           return {};
         const auto placed =
--- a/src/libsamphire/traffic/request_placer.cc
+++ b/src/libsamphire/traffic/request_placer.cc
@@ -41,7 +41,7 @@
     const entry_list& entries) {
   criteria_.for_region = false;
   if (context_.settings.disabled_mechanisms.contains(
-          placing_mechanism::kKeyOwner) ||
+          placement_mechanism::kKeyOwner) ||
       criteria_.home_regions.size() > kMaxHomeRegions ||
       criteria_.excluded.size() > kMaxExcludedTargets)
     return std::nullopt;
@@ -92,11 +92,11 @@
 
 // The owner's list of targets may be older than this entry's. A target that has
 // been removed or closed to new work here since then is not used.
-std::optional<placing> request_placer::PlacementFrom(
+std::optional<placement_result> request_placer::PlacementFrom(
     const remote_placement_response& response,
     const target_set& targets) const {
   if (response.verdict == remote_placement_verdict::kRefused) {
-    return placing_refusal{
+    return placement_refusal{
         .reason = ResultCodeOf(response.reason)
                       .value_or(result_code::kNoTargetAvailable),
         .retry_after = milliseconds(response.retry_after_ms),
--- a/src/libsamphire/traffic/request_placer.h
+++ b/src/libsamphire/traffic/request_placer.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "routing/placing_request.h"
+#include "routing/placement_criteria.h"
 #include "traffic/placed_request.h"
 #include "traffic/placement_client.h"
 #include "traffic/traffic_context.h"
@@ -35,7 +35,7 @@
   void Exclude(const std::string& target);
 
   // What the choice depends on, as of the last Place().
-  const placing_request& criteria() const { return criteria_; }
+  const placement_criteria& criteria() const { return criteria_; }
   const std::string& service() const { return service_; }
 
  private:
@@ -47,7 +47,7 @@
   remote_placement_request BuildRequest() const;
   // Returns nothing if the owner left the decision to this entry or chose a
   // target that is not open here.
-  std::optional<placing> PlacementFrom(
+  std::optional<placement_result> PlacementFrom(
       const remote_placement_response& response,
       const target_set& targets) const;
   const traffic_service* ServiceConfig() const;
@@ -55,7 +55,7 @@
   traffic_context& context_;
   const traffic_request& request_;
   const std::string service_;
-  placing_request criteria_;
+  placement_criteria criteria_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/service_shards.h
+++ b/src/libsamphire/traffic/service_shards.h
@@ -7,7 +7,7 @@
 
 #include "base/sharded.h"
 #include "routing/mechanism_set.h"
-#include "routing/placing_leases.h"
+#include "routing/placement_leases.h"
 #include "routing/retry_window.h"
 #include "routing/service_tracker.h"
 #include "routing/weighted_split.h"
@@ -27,7 +27,7 @@
   service_tracker tracker;
   retry_window retries;
   // Leases of the attempts that this entry placed for peers.
-  placing_leases leases;
+  placement_leases leases;
 };
 
 // The state on which placement decisions depend: that of each service, and the
--- a/src/libsamphire/traffic/source_plan.cc
+++ b/src/libsamphire/traffic/source_plan.cc
@@ -31,7 +31,7 @@
 // the same order, the first peer would serve the whole region and the others
 // nobody.
 std::vector<std::string> QueryOrder(const std::vector<std::string>& chosen,
-                                    const entry_place& self,
+                                    const entry_location& self,
                                     const entry_list& entries) {
   std::vector<std::tuple<bool, std::uint64_t, std::string>> order;
   for (const auto& name : chosen) {
@@ -60,7 +60,7 @@
 // Backups matter in large regions: if every entry queried the platform itself
 // whenever the watchers have no fresh copy, an outage of a second would cause
 // hundreds of calls and the platform would face a burst of load as it recovers.
-source_plan PlanSources(const entry_place& self, const entry_list& entries) {
+source_plan PlanSources(const entry_location& self, const entry_list& entries) {
   const auto count = entries.names.size() <= kSmallRegionEntries
                          ? kSmallRegionWatchers
                          : kWatchers;
--- a/src/libsamphire/traffic/source_plan.h
+++ b/src/libsamphire/traffic/source_plan.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "routing/entry_place.h"
+#include "routing/entry_location.h"
 #include "traffic/entry_list.h"
 #include "traffic/source_role.h"
 
@@ -23,7 +23,7 @@
 // Assigns roles by rendezvous hashing. All entries of a region that know the
 // same members choose the same watchers and backups; an entry in an empty
 // region is a watcher.
-source_plan PlanSources(const entry_place& self, const entry_list& entries);
+source_plan PlanSources(const entry_location& self, const entry_list& entries);
 
 // Returns up to two of `backups` to query next. `stale_rounds` is the number of
 // preceding rounds in which peers had no fresh copy; successive rounds cycle
--- a/src/libsamphire/traffic/traffic_dispatcher.cc
+++ b/src/libsamphire/traffic/traffic_dispatcher.cc
@@ -69,7 +69,7 @@
   if (!TakePermit())
     return false;
   auto placed = placer_.Place();
-  if (const auto* refusal = std::get_if<placing_refusal>(&placed.decision)) {
+  if (const auto* refusal = std::get_if<placement_refusal>(&placed.decision)) {
     LogNoPlacement(*refusal, placed.owner);
     FinishWithoutAttempt(refusal->reason, refusal->retry_after);
     return false;
@@ -259,7 +259,7 @@
        {"retry_after_ms", permit.decision.retry_after.count()}});
 }
 
-void traffic_dispatcher::LogNoPlacement(const placing_refusal& refusal,
+void traffic_dispatcher::LogNoPlacement(const placement_refusal& refusal,
                                         const std::string& owner) const {
   const auto targets = context_.state.targets();
   Log(log_level::kInfo, "no-place",
--- a/src/libsamphire/traffic/traffic_dispatcher.h
+++ b/src/libsamphire/traffic/traffic_dispatcher.h
@@ -6,7 +6,7 @@
 
 #include "gateway/answer_sink.h"
 #include "proxy/caller_watch.h"
-#include "routing/placing.h"
+#include "routing/placement_result.h"
 #include "traffic/placed_request.h"
 #include "traffic/request_placer.h"
 #include "traffic/target_exchange_end.h"
@@ -56,7 +56,7 @@
   void LogOutcome(result_code code, int status) const;
   void LogPermitRefusal(const team_permit& permit) const;
   // `owner` is the entry that refused the placement; empty for this entry.
-  void LogNoPlacement(const placing_refusal& refusal,
+  void LogNoPlacement(const placement_refusal& refusal,
                       const std::string& owner) const;
 
   traffic_context& context_;
--- a/src/libsamphire/traffic/traffic_settings.h
+++ b/src/libsamphire/traffic/traffic_settings.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "routing/entry_place.h"
+#include "routing/entry_location.h"
 #include "routing/mechanism_set.h"
 #include "traffic/traffic_bounds.h"
 
@@ -17,7 +17,7 @@
 // the form HOST:PORT.
 struct traffic_settings {
   // This entry's instance, failure domain and region.
-  entry_place place;
+  entry_location place;
   // Serves the requests of callers.
   std::string caller_address;
   // Serves the platform's readiness checks and its look-ups of entries.
--- a/tests/traffic/team_limiter_test.cc
+++ b/tests/traffic/team_limiter_test.cc
@@ -110,7 +110,7 @@
   fixture.other->transport.hold_messages = true;
   const auto permit = fixture.other->limiter.Take(kTeam);
   CHECK(permit.decision.granted);
-  CHECK(permit.role == permit_role::kDeputy);
+  CHECK(permit.role == permit_role::kBackup);
   fixture.other->TakeAll();
   CHECK(fixture.other->transport.sent.size() == 1);
   fixture.clock.Advance(1s);
