--- a/bench/membership.cc
+++ b/bench/membership.cc
@@ -1,7 +1,7 @@
-// What membership costs a node, and how fast news spreads, from a small site
-// to a large fleet. Simulated time on one thread; only the processor time is
-// the machine's, and it has no bound here. Prints JSON; exits 1 when a bound
-// on bytes or on simulated time is broken.
+// Measures the cost of membership per node, and how fast updates spread, from a
+// small site to a large fleet. Simulates time on one thread. Only the processor
+// time depends on the machine, and no bound is checked for it. Prints JSON;
+// exits with 1 if a bound on bytes or on simulated time is exceeded.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -20,41 +20,43 @@
 #include "membership_fleet.h"
 #include "peer/envelope_codec.h"
 
-ABSL_FLAG(int, max_nodes, 2800, "leaves larger fleets out");
-ABSL_FLAG(int, min_nodes, 0, "leaves smaller fleets out");
-ABSL_FLAG(int, settle_s, 120, "simulated time before the measurement");
-ABSL_FLAG(int, measure_s, 60, "simulated time of the measurement");
+ABSL_FLAG(int, max_nodes, 2800, "skips fleets with more nodes");
+ABSL_FLAG(int, min_nodes, 0, "skips fleets with fewer nodes");
+ABSL_FLAG(int, settle_s, 120, "simulated seconds before the measurement");
+ABSL_FLAG(int, measure_s, 60, "simulated seconds of the measurement");
 
 namespace samphire {
 namespace {
 
 using std::chrono::seconds;
 
-constexpr double kMostBytesPerSecond = 2048;
+constexpr double kMaxBytesPerSecond = 2048;
 
 double CpuSeconds() {
   return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-struct point {
+// Result for one fleet. Times are in seconds of simulated time, traffic is in
+// bytes and messages per second and node.
+struct measurement {
   int nodes = 0;
   int regions = 0;
   double sent = 0;
-  double sent_most = 0;
-  double received_most = 0;
+  double sent_max = 0;
+  double received_max = 0;
   double messages = 0;
   double cpu_percent = 0;
   double members_missing = 0;
   double regions_missing = 0;
   double load_age_mean_s = 0;
   double region_age_mean_s = 0;
-  double region_age_most_s = 0;
+  double region_age_max_s = 0;
   double detect_s = 0;
   double config_from_watchers_s = 0;
   double config_from_one_s = 0;
 };
 
-void MeasureTraffic(fleet& all, point& result) {
+void MeasureTraffic(fleet& all, measurement& result) {
   const auto time = seconds(absl::GetFlag(FLAGS_measure_s));
   all.ResetCounts();
   const double cpu = CpuSeconds();
@@ -67,14 +69,15 @@
     result.sent += sent / result.nodes;
     result.messages +=
         static_cast<double>(each.messages) / length / result.nodes;
-    result.sent_most = std::max(result.sent_most, sent);
-    result.received_most = std::max(result.received_most, received);
+    result.sent_max = std::max(result.sent_max, sent);
+    result.received_max = std::max(result.received_max, received);
   }
   result.cpu_percent = 100 * spent / length / result.nodes;
 }
 
-// How old the loads that nodes hold of each other are: each node describes
-// itself once a second, so the numbers of its descriptions count seconds.
+// Returns the mean age in seconds of the loads that nodes know of each other.
+// Each node updates its digest once a second, so differences of sequence
+// numbers are seconds.
 double MeanLoadAge(fleet& all) {
   std::map<std::string, std::uint32_t> present;
   for (const auto& each : all.nodes())
@@ -82,7 +85,7 @@
   double ages = 0;
   double count = 0;
   for (const auto& each : all.nodes()) {
-    for (const auto& [name, known] : each.core->table().others()) {
+    for (const auto& [name, known] : each.core->table().other_members()) {
       ages += present[name] - known.digest.sequence;
       ++count;
     }
@@ -90,7 +93,7 @@
   return ages / count;
 }
 
-void MeasureKnowledge(fleet& all, point& result) {
+void MeasureKnowledge(fleet& all, measurement& result) {
   result.load_age_mean_s = MeanLoadAge(all);
   double ages = 0;
   int known = 0;
@@ -98,7 +101,8 @@
     const auto expected =
         (result.nodes - each.region + result.regions - 1) / result.regions;
     result.members_missing +=
-        expected - static_cast<double>(each.core->table().Working().size());
+        expected -
+        static_cast<double>(each.core->table().AliveMembers().size());
     result.regions_missing +=
         result.regions - 1 -
         static_cast<double>(each.core->regions().digests().size());
@@ -108,19 +112,20 @@
           1000;
       ages += age;
       ++known;
-      result.region_age_most_s = std::max(result.region_age_most_s, age);
+      result.region_age_max_s = std::max(result.region_age_max_s, age);
     }
   }
   result.region_age_mean_s = known == 0 ? 0 : ages / known;
 }
 
-point Measure(int nodes, int regions) {
+measurement Measure(int nodes, int regions) {
   fleet all(nodes, regions);
-  point result{nodes, regions};
+  measurement result{nodes, regions};
   all.Run(seconds(absl::GetFlag(FLAGS_settle_s)));
   MeasureTraffic(all, result);
   MeasureKnowledge(all, result);
-  // Nodes go round the regions: these are two of each.
+  // Nodes are assigned to the regions in rotation: these are two of each
+  // region.
   const auto watchers = std::min(2 * regions, nodes);
   for (std::size_t i = 0; i < static_cast<std::size_t>(watchers); ++i)
     all.SetConfig(i, 2);
@@ -135,13 +140,14 @@
         static_cast<std::size_t>((crash + 1) * std::max(1, nodes / 5));
     all.nodes()[subject].up = false;
     result.detect_s +=
-        all.RunUntil([&] { return all.KnownDead(subject); }, seconds(300)) /
+        all.RunUntil([&] { return all.DeclaredDeadByRegion(subject); },
+                     seconds(300)) /
         kCrashes;
   }
   return result;
 }
 
-void Print(const point& p) {
+void Print(const measurement& p) {
   fmt::print(
       R"({{"nodes":{},"regions":{},"sent_bytes_per_s":{:.0f},)"
       R"("sent_bytes_per_s_most":{:.0f},"received_bytes_per_s_most":{:.0f},)"
@@ -152,15 +158,15 @@
       R"("detect_s":{:.1f},"config_from_watchers_s":{:.1f},)"
       R"("config_from_one_s":{:.1f}}})"
       "\n",
-      p.nodes, p.regions, p.sent, p.sent_most, p.received_most, p.messages,
+      p.nodes, p.regions, p.sent, p.sent_max, p.received_max, p.messages,
       p.cpu_percent, p.members_missing, p.regions_missing, p.load_age_mean_s,
-      p.region_age_mean_s, p.region_age_most_s, p.detect_s,
+      p.region_age_mean_s, p.region_age_max_s, p.detect_s,
       p.config_from_watchers_s, p.config_from_one_s);
   std::fflush(stdout);
 }
 
-// What sealing and opening a datagram of usual size costs, which the
-// simulation leaves out.
+// Returns the processor time for sealing and opening a datagram of usual size,
+// which the simulation leaves out.
 double SealAndOpenMicroseconds() {
   const auto keys =
       peer_keys::Parse("0123456789abcdef0123456789abcdef").value();
@@ -178,7 +184,7 @@
 }
 
 int Main() {
-  bool sound = true;
+  bool within_bounds = true;
   std::vector<std::pair<double, double>> bytes;
   std::vector<std::pair<double, double>> cpu;
   constexpr std::pair<int, int> kFleets[] = {{10, 3},  {40, 3},    {120, 3},
@@ -192,10 +198,11 @@
     Print(p);
     bytes.emplace_back(nodes, p.sent);
     cpu.emplace_back(nodes, p.cpu_percent);
-    sound = sound && p.sent_most < kMostBytesPerSecond &&
-            p.received_most < kMostBytesPerSecond && p.members_missing == 0 &&
-            p.regions_missing == 0 && p.region_age_most_s < 120 &&
-            p.config_from_watchers_s < 9 && p.detect_s < 30;
+    within_bounds = within_bounds && p.sent_max < kMaxBytesPerSecond &&
+                    p.received_max < kMaxBytesPerSecond &&
+                    p.members_missing == 0 && p.regions_missing == 0 &&
+                    p.region_age_max_s < 120 && p.config_from_watchers_s < 9 &&
+                    p.detect_s < 30;
   }
   fmt::print(R"({{"seal_and_open_us":{:.1f}}})"
              "\n",
@@ -211,7 +218,7 @@
         "\n",
         name, fit.slope, fit.start, fit.worst_residual);
   }
-  return sound ? 0 : 1;
+  return within_bounds ? 0 : 1;
 }
 
 }  // namespace
--- a/bench/membership_fleet.h
+++ b/bench/membership_fleet.h
@@ -16,15 +16,18 @@
 
 #include "membership/membership_core.h"
 
-// A fleet of entries' membership in simulated time, on one thread.
+// Simulates the membership of a fleet of entries, on one thread and in
+// simulated time.
 
 namespace samphire {
 
-inline constexpr milliseconds kTick{100};
-// Digest, sender, numbers, kind and length of an envelope; IP and UDP headers.
-inline constexpr std::uint64_t kDatagramOverhead =
+inline constexpr milliseconds kTickInterval{100};
+// Bytes of the digest, sender, numbers, kind and length of an envelope, and of
+// the IP and UDP headers.
+inline constexpr std::uint64_t kDatagramOverheadBytes =
     32 + 1 + 11 + 24 + 1 + 2 + 28;
 
+// One entry, with counts of the bytes and messages since the last reset.
 struct node {
   std::unique_ptr<membership_core> core;
   std::string name;
@@ -37,6 +40,7 @@
   std::uint64_t config = 1;
 };
 
+// A datagram on its way to the node with index `to`.
 struct datagram {
   time_point due;
   std::uint64_t order = 0;
@@ -50,6 +54,8 @@
   }
 };
 
+// All entries and the network between them, which delivers after 1 ms within a
+// region and after 30 ms between regions.
 class fleet {
  public:
   fleet(int count, int regions) {
@@ -60,7 +66,7 @@
   void Run(duration time) {
     const auto end = now_ + time;
     while (now_ < end) {
-      now_ += kTick;
+      now_ += kTickInterval;
       Deliver();
       ++ticks_;
       for (std::size_t i = 0; i < nodes_.size(); ++i)
@@ -71,7 +77,7 @@
   double RunUntil(F&& reached, duration limit) {
     const auto start = now_;
     while (!reached() && now_ - start < limit)
-      Run(kTick);
+      Run(kTickInterval);
     return std::chrono::duration<double>(now_ - start).count();
   }
 
@@ -81,8 +87,9 @@
     for (auto& each : nodes_)
       each.sent_bytes = each.received_bytes = each.messages = 0;
   }
-  // How many in the region of `subject` hold it for dead.
-  bool KnownDead(std::size_t subject) const {
+  // Whether all running nodes in the region of `subject` have declared it dead,
+  // or have removed it.
+  bool DeclaredDeadByRegion(std::size_t subject) const {
     return std::ranges::all_of(nodes_, [&](const node& each) {
       if (!each.up || each.region != nodes_[subject].region)
         return true;
@@ -92,7 +99,7 @@
   }
   void SetConfig(std::size_t subject, std::uint64_t version) {
     nodes_[subject].config = version;
-    Describe(nodes_[subject]);
+    UpdateSelf(nodes_[subject]);
   }
   bool AllHaveConfig(std::uint64_t version) const {
     return std::ranges::all_of(nodes_, [version](const node& each) {
@@ -117,7 +124,8 @@
         self, membership_options{}, now_,
         wall_time(now_.time_since_epoch() + std::chrono::hours(500000)),
         static_cast<std::uint64_t>(number));
-    // One seed near the start, and the predecessor in the own region.
+    // The seeds are the first node of the fleet and the first node of the own
+    // region.
     added.core->AddSeeds({"10.0.0.0:7000"});
     if (number >= regions)
       added.core->AddSeeds(
@@ -126,7 +134,7 @@
     nodes_.push_back(std::move(added));
   }
 
-  void Describe(node& each) {
+  void UpdateSelf(node& each) {
     member_digest digest;
     digest.config_version = each.config;
     for (std::uint32_t service = 0; service < 4; ++service)
@@ -138,9 +146,9 @@
     auto& each = nodes_[index];
     if (!each.up)
       return;
-    // Once a second, not all at once.
+    // Each node does so once a second, but not all at the same time.
     if ((ticks_ + index) % 10 == 0)
-      Describe(each);
+      UpdateSelf(each);
     each.core->Tick(now_);
     Flush(index);
   }
@@ -153,7 +161,7 @@
       if (!to.up)
         continue;
       const auto& from = nodes_[due.from];
-      to.received_bytes += due.payload.size() + kDatagramOverhead;
+      to.received_bytes += due.payload.size() + kDatagramOverheadBytes;
       to.core->Receive(due.kind, {from.name, 1, from.address, due.payload},
                        due.due);
       Flush(due.to);
@@ -163,20 +171,21 @@
   void Flush(std::size_t index) {
     auto& each = nodes_[index];
     for (auto& message : each.core->TakeOutgoing()) {
-      each.sent_bytes += message.payload.size() + kDatagramOverhead;
+      each.sent_bytes += message.payload.size() + kDatagramOverheadBytes;
       ++each.messages;
       const auto to = by_address_.find(message.address);
       if (to == by_address_.end())
         continue;
-      const bool near = nodes_[to->second].region == each.region;
-      in_flight_.push({now_ + milliseconds(near ? 1 : 30), ++order_, index,
-                       to->second, message.kind, std::move(message.payload)});
+      const bool same_region = nodes_[to->second].region == each.region;
+      in_flight_.push({now_ + milliseconds(same_region ? 1 : 30), ++order_,
+                       index, to->second, message.kind,
+                       std::move(message.payload)});
     }
     for (const auto& event : each.core->TakeEvents()) {
-      const auto* heard = std::get_if<config_heard>(&event);
-      if (heard != nullptr && heard->version > each.config) {
-        each.config = heard->version;
-        Describe(each);
+      const auto* seen = std::get_if<peer_config_seen>(&event);
+      if (seen != nullptr && seen->version > each.config) {
+        each.config = seen->version;
+        UpdateSelf(each);
       }
     }
   }
--- a/src/libsamphire/membership/gossip_queue.cc
+++ b/src/libsamphire/membership/gossip_queue.cc
@@ -8,18 +8,21 @@
 
 namespace {
 
-// For each doubling of the members. A rumour told this often reaches all with
-// near certainty, before the time of a suspicion is over. A record is five
-// times as long and not as urgent: what is missed the checksums find.
-constexpr int kRumourTells = 3;
-constexpr int kRecordTells = 1;
-constexpr int kLoadTells = 2;
-// A changed region has to reach everyone. A refreshed one is passed on twice,
-// the least by which news still spreads.
-constexpr int kRegionChangeTells = 4;
-constexpr int kRegionRefreshTells = 2;
+// Sends per doubling of the number of members. An update sent this often
+// reaches all members with near certainty before a suspicion times out. A
+// record is five times as long and less urgent: members that miss it are found
+// by the comparison of checksums.
+constexpr int kUpdateSendsPerDoubling = 3;
+constexpr int kRecordSendsPerDoubling = 1;
+// Sends of one load digest of a member, whatever the number of members.
+constexpr int kLoadSends = 2;
+// Sends of one region digest. A changed region has to reach every member. A
+// refreshed one is forwarded twice, which is the minimum at which gossip still
+// spreads.
+constexpr int kRegionChangeSends = 4;
+constexpr int kRegionRefreshSends = 2;
 
-bool Take(std::size_t size, std::size_t& budget) {
+bool TakeFromBudget(std::size_t size, std::size_t& budget) {
   if (size > budget)
     return false;
   budget -= size;
@@ -28,29 +31,32 @@
 
 }  // namespace
 
-void gossip_queue::AddMember(const std::string& name, bool in_full) {
-  auto& news = members_[name];
-  news.in_full = in_full || (news.in_full && news.told == 0);
-  news.told = 0;
+void gossip_queue::AddMember(const std::string& name, bool full_record) {
+  auto& queued = members_[name];
+  queued.full_record =
+      full_record || (queued.full_record && queued.send_count == 0);
+  queued.send_count = 0;
 }
 
 void gossip_queue::AddRegion(const std::string& region, bool changed) {
-  auto& news = regions_[region];
-  const auto tells = changed ? kRegionChangeTells : kRegionRefreshTells;
-  news.left = std::max(news.left, tells);
-  news.changed = news.changed || changed;
+  auto& queued = regions_[region];
+  const auto sends = changed ? kRegionChangeSends : kRegionRefreshSends;
+  queued.sends_left = std::max(queued.sends_left, sends);
+  queued.changed = queued.changed || changed;
 }
 
-// The budget keeps a message's size, and so each node's bytes, the same
-// however much there is to tell: in a large change news takes longer instead.
+// The budget keeps the size of a message, and so the bytes that each node
+// sends, independent of the number of queued updates: after a large change,
+// updates take longer to spread instead.
 void gossip_queue::Fill(gossip_block& block,
                         const membership_table& table,
                         const region_directory& regions,
                         std::size_t budget) {
-  // In every other message a region goes first: it takes most of one, and
-  // after many members have come at once it would wait for minutes otherwise.
-  region_turn_ = !region_turn_;
-  if (region_turn_)
+  // A region comes first in every other message. It takes up most of the
+  // budget, and after many members have joined at once it would otherwise wait
+  // for minutes behind their records.
+  region_first_ = !region_first_;
+  if (region_first_)
     FillRegion(block, regions, budget);
   FillMembers(block, table, budget);
   FillLoads(block, table, budget);
@@ -60,29 +66,31 @@
                                const membership_table& table,
                                std::size_t& budget) {
   const auto doublings =
-      static_cast<int>(std::bit_width(table.others().size() + 2));
-  std::vector<std::pair<int, std::string>> order;
-  order.reserve(members_.size());
-  for (const auto& [name, news] : members_)
-    order.emplace_back(news.told, name);
-  std::ranges::sort(order);
-  for (const auto& [told, name] : order) {
-    auto& news = members_[name];
+      static_cast<int>(std::bit_width(table.other_members().size() + 2));
+  std::vector<std::pair<int, std::string>> by_send_count;
+  by_send_count.reserve(members_.size());
+  for (const auto& [name, queued] : members_)
+    by_send_count.emplace_back(queued.send_count, name);
+  std::ranges::sort(by_send_count);
+  for (const auto& [send_count, name] : by_send_count) {
+    auto& queued = members_[name];
     const auto* known = table.Find(name);
-    const auto limit = doublings * (news.in_full ? kRecordTells : kRumourTells);
-    if (known == nullptr || told >= limit) {
+    const auto limit =
+        doublings * (queued.full_record ? kRecordSendsPerDoubling
+                                        : kUpdateSendsPerDoubling);
+    if (known == nullptr || send_count >= limit) {
       members_.erase(name);
       continue;
     }
-    const auto rumour = RumourOf(*known);
-    const auto size = news.in_full ? WireSize(*known) : WireSize(rumour);
-    if (!Take(size, budget))
+    const auto update = UpdateOf(*known);
+    const auto size = queued.full_record ? WireSize(*known) : WireSize(update);
+    if (!TakeFromBudget(size, budget))
       continue;
-    ++news.told;
-    if (news.in_full)
+    ++queued.send_count;
+    if (queued.full_record)
       block.records.push_back(*known);
     else
-      block.rumours.push_back(rumour);
+      block.updates.push_back(update);
   }
 }
 
@@ -92,22 +100,23 @@
   const auto next = NextRegion();
   if (next == regions_.end())
     return;
-  auto& news = next->second;
+  auto& queued = next->second;
   const auto* digest = regions.Find(next->first);
   if (digest == nullptr) {
     regions_.erase(next);
     return;
   }
-  if (!Take(WireSize(*digest), budget))
+  if (!TakeFromBudget(WireSize(*digest), budget))
     return;
   block.regions.push_back(*digest);
   region_cursor_ = next->first;
-  if (--news.left <= 0)
+  if (--queued.sends_left <= 0)
     regions_.erase(next);
 }
 
-// The next one round by name, and one that changed before any other.
-gossip_queue::region_news_map::iterator gossip_queue::NextRegion() {
+// Returns the next region by name, in rotation; a changed region goes before
+// all refreshed ones.
+gossip_queue::queued_region_map::iterator gossip_queue::NextRegion() {
   auto found = regions_.end();
   auto it = regions_.upper_bound(region_cursor_);
   for (std::size_t i = 0; i < regions_.size(); ++i, ++it) {
@@ -124,31 +133,31 @@
 void gossip_queue::FillLoads(gossip_block& block,
                              const membership_table& table,
                              std::size_t& budget) {
-  const auto& others = table.others();
-  auto next = others.upper_bound(load_cursor_);
-  for (std::size_t i = 0; i < others.size(); ++i) {
-    if (next == others.end())
-      next = others.begin();
+  const auto& other_members = table.other_members();
+  auto next = other_members.upper_bound(load_cursor_);
+  for (std::size_t i = 0; i < other_members.size(); ++i) {
+    if (next == other_members.end())
+      next = other_members.begin();
     const auto& [name, known] = *next;
     ++next;
     if (known.state == member_state::kDead || known.digest.sequence == 0)
       continue;
-    auto& news = loads_[name];
-    if (news.sequence != known.digest.sequence)
-      news = {known.digest.sequence, 0};
-    if (news.told >= kLoadTells)
+    auto& queued = loads_[name];
+    if (queued.sequence != known.digest.sequence)
+      queued = {known.digest.sequence, 0};
+    if (queued.send_count >= kLoadSends)
       continue;
     if (block.digests.size() >= kMaxGossipItems ||
-        !Take(WireSize(known.digest), budget)) {
+        !TakeFromBudget(WireSize(known.digest), budget)) {
       break;
     }
-    ++news.told;
+    ++queued.send_count;
     load_cursor_ = name;
     block.digests.push_back(known.digest);
   }
-  if (loads_.size() > 2 * others.size() + 2) {
-    std::erase_if(loads_, [&others](const auto& entry) {
-      return !others.contains(entry.first);
+  if (loads_.size() > 2 * other_members.size() + 2) {
+    std::erase_if(loads_, [&other_members](const auto& entry) {
+      return !other_members.contains(entry.first);
     });
   }
 }
--- a/src/libsamphire/membership/gossip_queue.h
+++ b/src/libsamphire/membership/gossip_queue.h
@@ -12,33 +12,37 @@
 
 namespace samphire {
 
-// Picks the news that goes along with a message, within a budget of bytes: one
-// region in every other message, members, then loads; each told a few times.
+// Selects the updates that are piggybacked on a message, within a budget of
+// bytes: one region in every other message, then members, then loads. Each
+// update is sent a limited number of times. Not thread-safe.
 class gossip_queue {
  public:
-  // News of a member; in full when others may not have its record.
-  void AddMember(const std::string& name, bool in_full);
-  // News of a region: other contacts or configuration, or only newer loads.
+  // Queues an update on a member, with its complete record if other members may
+  // not have it (`full_record`).
+  void AddMember(const std::string& name, bool full_record);
+  // Queues the digest of a region. `changed` says that its contacts or its
+  // configuration version differ, not only its load.
   void AddRegion(const std::string& region, bool changed);
 
+  // Adds queued updates of at most `budget` bytes to `block`.
   void Fill(gossip_block& block,
             const membership_table& table,
             const region_directory& regions,
             std::size_t budget);
 
  private:
-  struct member_news {
-    bool in_full = false;
-    int told = 0;
+  struct queued_member {
+    bool full_record = false;
+    int send_count = 0;
   };
-  struct region_news {
-    int left = 0;
+  struct queued_region {
+    int sends_left = 0;
     bool changed = false;
   };
-  using region_news_map = std::map<std::string, region_news>;
-  struct load_news {
+  using queued_region_map = std::map<std::string, queued_region>;
+  struct queued_load {
     std::uint32_t sequence = 0;
-    int told = 0;
+    int send_count = 0;
   };
 
   void FillMembers(gossip_block& block,
@@ -47,17 +51,20 @@
   void FillRegion(gossip_block& block,
                   const region_directory& regions,
                   std::size_t& budget);
-  region_news_map::iterator NextRegion();
+  queued_region_map::iterator NextRegion();
   void FillLoads(gossip_block& block,
                  const membership_table& table,
                  std::size_t& budget);
 
-  std::map<std::string, member_news> members_;
-  region_news_map regions_;
+  std::map<std::string, queued_member> members_;
+  queued_region_map regions_;
+  // Name of the region that was sent last.
   std::string region_cursor_;
-  bool region_turn_ = false;
-  std::map<std::string, load_news> loads_;
-  // Loads go round: where the last message stopped.
+  // Whether a region came first in the last message; alternates.
+  bool region_first_ = false;
+  std::map<std::string, queued_load> loads_;
+  // Loads are sent in turn, by name: the member at which the last message
+  // stopped.
   std::string load_cursor_;
 };
 
--- a/src/libsamphire/membership/member_shard_router.cc
+++ b/src/libsamphire/membership/member_shard_router.cc
@@ -4,10 +4,10 @@
 
 namespace samphire {
 
-// Each region has a leader of its own: a message to another region would take
-// longer than the platform's call that it saves.
+// Each region has a leader of its own, since a message to another region would
+// take longer than the call to the platform that it saves.
 std::string member_shard_router::LeaderOf(std::uint32_t shard) const {
-  return membership_.HolderOf(fmt::format("ledger/{}", shard));
+  return membership_.RoleOwnerAddress(fmt::format("ledger/{}", shard));
 }
 
 }  // namespace samphire
--- a/src/libsamphire/membership/member_shard_router.h
+++ b/src/libsamphire/membership/member_shard_router.h
@@ -9,12 +9,15 @@
 
 namespace samphire {
 
-// Picks the leader of a shard among the working members of the region.
+// Picks the leader of a ledger shard among the alive members of the region, by
+// rendezvous hashing. May be called by any thread.
 class member_shard_router final : public shard_router {
  public:
   explicit member_shard_router(const membership_service& membership)
       : membership_(membership) {}
 
+  // Returns the peer address of the leader; empty if this entry leads the shard
+  // or no member is alive.
   std::string LeaderOf(std::uint32_t shard) const override;
 
  private:
--- a/src/libsamphire/membership/member_state.h
+++ b/src/libsamphire/membership/member_state.h
@@ -7,14 +7,18 @@
 
 namespace samphire {
 
-// Of two states of one process the later in this order counts, unless the
-// process itself has spoken since.
+// State of a member. Of two states reported for one process the later one in
+// this order prevails, unless the process itself has refuted it since. The
+// numbers are sent on the wire.
 enum class member_state : std::uint8_t {
   kAlive,
-  // Announced by the member: it finishes what runs and takes nothing new.
+  // Announced by the member itself: it finishes running requests and accepts no
+  // new ones.
   kLeaving,
-  // Did not answer; declared dead unless it speaks up.
+  // Did not answer probes; is declared dead unless it refutes the suspicion in
+  // time.
   kSuspect,
+  // Declared failed: no longer probed and not sent any work.
   kDead,
 };
 
--- a/src/libsamphire/membership/member_rumour.h
+++ b/src/libsamphire/membership/member_update.h
@@ -1,5 +1,5 @@
-#ifndef MEMBERSHIP_MEMBER_RUMOUR_H_
-#define MEMBERSHIP_MEMBER_RUMOUR_H_
+#ifndef MEMBERSHIP_MEMBER_UPDATE_H_
+#define MEMBERSHIP_MEMBER_UPDATE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,31 +10,34 @@
 
 namespace samphire {
 
-// News of a member that others know already.
-struct member_rumour {
+// A state change of a member whose complete record the receivers already have.
+struct member_update {
   std::string name;
   std::uint64_t incarnation = 0;
   std::uint32_t refutation = 0;
   member_state state = member_state::kAlive;
 
+  // The same order as member::rank().
   auto rank() const { return std::tuple(incarnation, refutation, state); }
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(Bounded<kMaxMemberName>(name), incarnation, refutation);
+    archive(Bounded<kMaxMemberNameBytes>(name), incarnation, refutation);
     SerializeEnum<member_state::kDead>(archive, state);
   }
 };
 
-inline member_rumour RumourOf(const member& known) {
+// Returns the current state of `known` as an update.
+inline member_update UpdateOf(const member& known) {
   return {known.name, known.incarnation, known.refutation, known.state};
 }
 
-inline std::size_t WireSize(const member_rumour& rumour) {
+// Returns the encoded size of `update` in bytes.
+inline std::size_t WireSize(const member_update& update) {
   constexpr std::size_t kFixed = 1 + 8 + 4 + 1;
-  return kFixed + rumour.name.size();
+  return kFixed + update.name.size();
 }
 
 }  // namespace samphire
 
-#endif  // MEMBERSHIP_MEMBER_RUMOUR_H_
+#endif  // MEMBERSHIP_MEMBER_UPDATE_H_
--- a/src/libsamphire/membership/membership_core.cc
+++ b/src/libsamphire/membership/membership_core.cc
@@ -7,24 +7,32 @@
 
 namespace {
 
-// Ticks come every 100 ms. A gap of this length means that the process, not
-// its peers, stood still.
-constexpr milliseconds kPause{700};
-// Knocking at seeds while all is well only finds parts of the fleet that have
-// never heard of each other.
-constexpr int kQuietKnocks = 60;
-constexpr std::size_t kJoinSeeds = 3;
-constexpr std::uint64_t kMaxFirstSeed = 1000;
-// An entry alone serves nobody well: it tries the next seeds soon.
-constexpr int kAloneKnocks = 5;
-// So does one that has just started. Entries of a region that start together
-// first meet whoever else was quick; content with that, they would stay in
-// small groups until regions happen to tell each other of them, which shows as
-// several entries that each take a share meant for one.
-constexpr milliseconds kJoinTime{5000};
-constexpr milliseconds kDarkRegion{120'000};
-constexpr std::size_t kRecordBytes = 1000;
-constexpr std::size_t kRegionsPerMessage = 4;
+// Ticks come every 100 ms. A gap of this length means that this process was
+// paused, not its peers.
+constexpr milliseconds kMinPauseGap{700};
+// Factor by which joins are sent less often while the whole fleet is reachable.
+// They then only serve to find parts of the fleet that have never learned of
+// each other.
+constexpr int kStableJoinFactor = 60;
+// Addresses that are sent a join per round while this entry is joining.
+constexpr std::size_t kJoiningSeeds = 3;
+// Bounds the random position in the seed list at which an entry starts.
+constexpr std::uint64_t kMaxFirstSeedIndex = 1000;
+// Factor by which joins are sent more often while this entry knows no other
+// member, as an entry on its own is of little use to callers.
+constexpr int kJoiningSpeedup = 5;
+// An entry that has just started counts as joining for this long, too. Entries
+// of a region that start together first meet whichever others were quick. If
+// they stopped there, they would remain in small groups until other regions
+// happen to name the rest, and several entries would each take a share that is
+// meant for one.
+constexpr milliseconds kJoiningTime{5000};
+// A region whose newest digest is older than this counts as unreachable.
+constexpr milliseconds kUnreachableRegionAge{120'000};
+// Bound on the member records in one datagram.
+constexpr std::size_t kMaxRecordBytesPerMessage = 1000;
+// Bound on the region digests in one datagram.
+constexpr std::size_t kMaxRegionsPerMessage = 4;
 
 }  // namespace
 
@@ -35,18 +43,18 @@
                                  std::uint64_t seed)
     : options_(options),
       started_at_(now),
-      started_wall_(wall),
+      started_wall_time_(wall),
       random_(seed),
       table_(std::move(self), options),
       regions_(table_.self().region),
       prober_(options, now, random_),
-      speaker_(options, now, random_),
-      seeds_(random_() % kMaxFirstSeed),
+      region_sender_(options, now, random_),
+      seeds_(random_() % kMaxFirstSeedIndex),
       last_tick_(now),
-      next_knock_(now),
+      next_join_(now),
       next_sync_(now),
-      next_region_ask_(now),
-      next_refresh_(now) {}
+      next_region_request_(now),
+      next_stale_request_(now) {}
 
 void membership_core::AddSeeds(const std::vector<std::string>& addresses) {
   for (const auto& address : addresses)
@@ -59,83 +67,88 @@
   config_digest_ = config_digest;
 }
 
-// Told to every member at once instead of by rumour: callers are sent to this
-// entry until the last member knows, and the stop waits for that. It is one
-// message to each member, once in the life of a process.
+// Sent to every member directly instead of by gossip: callers are sent to this
+// entry until the last member knows, and the shutdown waits for that. The cost
+// is one message to each member, once in the lifetime of a process.
 void membership_core::AnnounceLeaving() {
   table_.SetState(member_state::kLeaving);
   queue_.AddMember(table_.self().name, false);
-  for (const auto& name : table_.Probed())
+  for (const auto& name : table_.ProbedMembers())
     SendRecords(table_.Find(name)->peer_address, {&table_.self()});
 }
 
 void membership_core::Tick(time_point now) {
   const auto gap = now - last_tick_;
   last_tick_ = now;
-  // A paused process wakes to find all its probes unanswered. It would declare
-  // its whole region suspect, and every member would have to contradict it.
-  if (gap > kPause) {
+  // After a pause, all probes of this process have gone unanswered. Without a
+  // reset it would declare its whole region suspected, and every member would
+  // have to refute that.
+  if (gap > kMinPauseGap) {
     prober_.Reset(now);
-    table_.Postpone(gap);
+    table_.PostponeTimers(gap);
   }
   RunProbes(now);
   for (const auto& name : table_.Expire(now))
-    Note(name, membership_table::effect::kChanged, false);
-  Knock(now);
-  SpeakToRegions(now);
-  RefreshRegions(now);
+    ApplyMergeResult(name, membership_table::merge_result::kChanged, false);
+  RetryJoins(now);
+  SendRegionDigest(now);
+  RequestStaleRegions(now);
 }
 
 void membership_core::RunProbes(time_point now) {
-  for (const auto& order : prober_.Tick(table_, now)) {
-    const auto* subject = table_.Find(order.subject);
+  for (const auto& step : prober_.Tick(table_, now)) {
+    const auto* subject = table_.Find(step.subject);
     if (subject == nullptr)
       continue;
-    switch (order.what) {
-      case prober::action::kProbe:
-        SendProbe(subject->peer_address, subject->name, order.id);
+    switch (step.kind) {
+      case prober::action_kind::kProbe:
+        SendProbe(subject->peer_address, subject->name, step.id);
         break;
-      case prober::action::kAskHelper:
-        Send(table_.Find(order.helper)->peer_address,
+      case prober::action_kind::kRequestIndirectProbe:
+        Send(table_.Find(step.helper)->peer_address,
              message_kind::kProbeRequest,
-             probe_request_message{order.id, subject->peer_address,
-                                   Compose(order.helper)});
+             probe_request_message{step.id, subject->peer_address,
+                                   BuildGossip(step.helper)});
         break;
-      case prober::action::kSuspect:
-        Note(order.subject, table_.Suspect(order.subject, now), false);
+      case prober::action_kind::kSuspect:
+        ApplyMergeResult(step.subject, table_.MarkSuspected(step.subject, now),
+                         false);
         break;
     }
   }
 }
 
-// After a cut each side holds the other for dead and probes it no more. Some
-// members go on knocking at the dead and at the seeds, or the sides would
-// never find each other again.
-void membership_core::Knock(time_point now) {
-  if (now < next_knock_)
+// After a network partition each side has declared the other dead and no longer
+// probes it. Delegates keep sending joins to dead members and to the seeds, or
+// the two sides would never find each other again.
+void membership_core::RetryJoins(time_point now) {
+  if (now < next_join_)
     return;
-  const bool joining = table_.Probed().empty() || now - started_at_ < kJoinTime;
-  const auto fresh = regions_.FreshWithin(kDarkRegion, WallMs(now));
-  const bool trouble = joining || !table_.Dead().empty() ||
-                       fresh.size() < regions_.digests().size();
-  next_knock_ = now + options_.knock_interval * (trouble ? 1 : kQuietKnocks);
+  const bool joining =
+      table_.ProbedMembers().empty() || now - started_at_ < kJoiningTime;
+  const auto fresh = regions_.FreshWithin(kUnreachableRegionAge, WallMs(now));
+  const bool unstable = joining || !table_.DeadMembers().empty() ||
+                        fresh.size() < regions_.digests().size();
+  next_join_ =
+      now + options_.join_retry_interval * (unstable ? 1 : kStableJoinFactor);
   if (joining)
-    next_knock_ = now + options_.knock_interval / kAloneKnocks;
+    next_join_ = now + options_.join_retry_interval / kJoiningSpeedup;
   if (!joining && !IsDelegate())
     return;
-  for (const auto& address : seeds_.Next(table_, joining ? kJoinSeeds : 1))
+  for (const auto& address : seeds_.Next(table_, joining ? kJoiningSeeds : 1))
     Send(address, message_kind::kJoin, join_message{table_.self()});
 }
 
-void membership_core::SpeakToRegions(time_point now) {
-  const auto letter = speaker_.Tick(table_, regions_, now, WallMs(now));
-  if (letter) {
-    Send(letter->address, message_kind::kRegionDigest,
-         records_message{{}, letter->regions});
+void membership_core::SendRegionDigest(time_point now) {
+  const auto digest_message =
+      region_sender_.Tick(table_, regions_, now, WallMs(now));
+  if (digest_message) {
+    Send(digest_message->address, message_kind::kRegionDigest,
+         records_message{{}, digest_message->regions});
   }
 }
 
-gossip_block membership_core::Compose(const std::string& receiver) {
+gossip_block membership_core::BuildGossip(const std::string& receiver) {
   gossip_block block;
   const auto& self = table_.self();
   block.refutation = self.refutation;
@@ -145,19 +158,19 @@
   block.table_checksum = table_.checksum();
   block.regions_known = static_cast<std::uint8_t>(
       std::min<std::size_t>(regions_.digests().size(), UINT8_MAX));
-  queue_.Fill(block, table_, regions_, options_.gossip_budget);
-  // A member that others hold for suspect or dead must hear of it, however
-  // old the news, or it could never contradict.
+  queue_.Fill(block, table_, regions_, options_.gossip_budget_bytes);
+  // A receiver that is suspected or declared dead must learn of that, however
+  // old the update is, or it could never refute it.
   const auto* known = table_.Find(receiver);
   if (known != nullptr && known->state >= member_state::kSuspect)
-    block.rumours.push_back(RumourOf(*known));
+    block.updates.push_back(UpdateOf(*known));
   return block;
 }
 
 void membership_core::SendProbe(const std::string& address,
                                 const std::string& name,
                                 std::uint64_t id) {
-  Send(address, message_kind::kProbe, probe_message{id, Compose(name)});
+  Send(address, message_kind::kProbe, probe_message{id, BuildGossip(name)});
 }
 
 void membership_core::SendRecords(const std::string& address,
@@ -166,7 +179,7 @@
   std::size_t bytes = 0;
   for (const auto* known : members) {
     const auto size = WireSize(*known);
-    if (bytes + size > kRecordBytes) {
+    if (bytes + size > kMaxRecordBytesPerMessage) {
       Send(address, message_kind::kGossip, message);
       message.members.clear();
       bytes = 0;
@@ -180,9 +193,9 @@
 
 void membership_core::SendRegions(const std::string& address, time_point now) {
   records_message message;
-  message.regions.push_back(speaker_.Describe(table_, WallMs(now)));
+  message.regions.push_back(region_sender_.BuildDigest(table_, WallMs(now)));
   for (const auto& [region, digest] : regions_.digests()) {
-    if (message.regions.size() >= kRegionsPerMessage) {
+    if (message.regions.size() >= kMaxRegionsPerMessage) {
       Send(address, message_kind::kRegionDigest, message);
       message.regions.clear();
     }
@@ -200,13 +213,13 @@
 }
 
 std::int64_t membership_core::WallMs(time_point now) const {
-  const auto wall = started_wall_ + (now - started_at_);
+  const auto wall = started_wall_time_ + (now - started_at_);
   return std::chrono::duration_cast<milliseconds>(wall.time_since_epoch())
       .count();
 }
 
 bool membership_core::IsDelegate() const {
-  return speaker_.IsDelegate(table_);
+  return region_sender_.IsDelegate(table_);
 }
 
 }  // namespace samphire
--- a/src/libsamphire/membership/membership_core_merge.cc
+++ b/src/libsamphire/membership/membership_core_merge.cc
@@ -2,56 +2,61 @@
 
 #include "membership/membership_core.h"
 
-// How membership takes in news, and asks for what it missed.
+// Merging of received gossip, and requests for updates that were missed.
 
 namespace samphire {
 
 namespace {
 
-// A few comparisons may differ while news is on its way.
+// Successive differing checksums that lead to a request. A few may differ while
+// an update is still spreading.
 constexpr int kMismatchesToSync = 3;
-// The answer is several datagrams, so this is far longer than a probe's.
-constexpr milliseconds kRegionAskInterval{20'000};
-// Four regions each five seconds: twenty-four take half a minute, or a whole
-// one when every other asked knows nothing newer.
-constexpr milliseconds kRefreshInterval{5'000};
-constexpr milliseconds kStaleRegion{45'000};
-constexpr std::size_t kContradictions = 8;
+// Minimum time between requests for all regions. The response takes several
+// datagrams, so this is far longer than the interval of probes.
+constexpr milliseconds kRegionRequestInterval{20'000};
+// Interval of requests for the stalest regions. With four regions every five
+// seconds, twenty-four take half a minute, or a whole one if every other peer
+// asked knows nothing newer.
+constexpr milliseconds kStaleRequestInterval{5'000};
+// Age from which the digest of a region is requested again.
+constexpr milliseconds kStaleRegionAge{45'000};
+// Members that are sent a refutation directly.
+constexpr std::size_t kMaxRefutationReceivers = 8;
 
 }  // namespace
 
 void membership_core::Merge(const peer_message& from,
                             const gossip_block& block,
                             time_point now) {
-  using effect = membership_table::effect;
+  using merge_result = membership_table::merge_result;
   for (const auto& record : block.records) {
     const auto* known = table_.Find(record.name);
-    const bool in_full =
+    const bool full_record =
         known == nullptr || known->incarnation < record.incarnation;
-    Note(record.name, table_.MergeRecord(record, now), in_full);
+    ApplyMergeResult(record.name, table_.MergeRecord(record, now), full_record);
   }
-  const member_rumour sender{from.sender, from.incarnation, block.refutation,
+  const member_update sender{from.sender, from.incarnation, block.refutation,
                              block.state};
-  const auto heard = table_.MergeRumour(sender, now);
-  bool unknown = heard == effect::kUnknown;
-  Note(sender.name, heard, false);
-  for (const auto& rumour : block.rumours) {
-    const auto merged = table_.MergeRumour(rumour, now);
-    unknown = unknown || merged == effect::kUnknown;
-    Note(rumour.name, merged, false);
+  const auto merged_sender = table_.MergeUpdate(sender, now);
+  bool unknown_member = merged_sender == merge_result::kUnknownMember;
+  ApplyMergeResult(sender.name, merged_sender, false);
+  for (const auto& update : block.updates) {
+    const auto merged = table_.MergeUpdate(update, now);
+    unknown_member = unknown_member || merged == merge_result::kUnknownMember;
+    ApplyMergeResult(update.name, merged, false);
   }
   table_.MergeDigest(block.self);
   for (const auto& digest : block.digests)
     table_.MergeDigest(digest);
   MergeRegions(block.regions, now);
-  AskForRegions(from, block, now);
-  if (unknown)
-    AskForSync(from.from, now);
+  RequestRegions(from, block, now);
+  if (unknown_member)
+    RequestSync(from.from, now);
   else
     CompareTables(from, block, now);
   if (block.self.config_version > table_.self().digest.config_version) {
-    events_.emplace_back(config_heard{block.self.config_version,
-                                      block.config_digest, from.from});
+    events_.emplace_back(peer_config_seen{block.self.config_version,
+                                          block.config_digest, from.from});
   }
 }
 
@@ -59,145 +64,148 @@
                                    time_point now) {
   for (const auto& digest : seen) {
     if (digest.region == table_.self().region) {
-      MeetOwnRegion(digest);
+      AddOwnRegionContacts(digest);
       continue;
     }
     const auto merged = regions_.Merge(digest, WallMs(now));
-    if (merged == region_directory::effect::kNone)
+    if (merged == region_directory::merge_result::kNone)
       continue;
     queue_.AddRegion(digest.region,
-                     merged == region_directory::effect::kChanged);
+                     merged == region_directory::merge_result::kChanged);
     if (digest.config_version > table_.self().digest.config_version &&
         !digest.contacts.empty()) {
-      events_.emplace_back(config_heard{digest.config_version, 0,
-                                        digest.contacts.front().peer_address});
+      events_.emplace_back(peer_config_seen{
+          digest.config_version, 0, digest.contacts.front().peer_address});
     }
   }
 }
 
-void membership_core::Note(const std::string& name,
-                           membership_table::effect effect,
-                           bool in_full) {
-  using enum membership_table::effect;
-  if (effect == kReplaced) {
-    events_.emplace_back(replaced{});
+void membership_core::ApplyMergeResult(const std::string& name,
+                                       membership_table::merge_result result,
+                                       bool full_record) {
+  using enum membership_table::merge_result;
+  if (result == kProcessReplaced) {
+    events_.emplace_back(process_replaced{});
     return;
   }
-  if (effect != kChanged && effect != kRefuted)
+  if (result != kChanged && result != kSuspicionRefuted)
     return;
-  queue_.AddMember(name, in_full);
-  if (effect == kRefuted)
-    Contradict();
+  queue_.AddMember(name, full_record);
+  if (result == kSuspicionRefuted)
+    RefuteSuspicion();
   else
     events_.emplace_back(member_changed{*table_.Find(name)});
 }
 
-// The suspicion has a start on its contradiction, and whoever hears too late
-// has sent callers away by then. Some members are told at once, so that the
-// contradiction starts its round from several places.
-void membership_core::Contradict() {
-  auto names = table_.Probed();
+// The suspicion started spreading before its refutation, and members that learn
+// of the refutation too late have already sent callers elsewhere. Some members
+// are sent it directly, so that it spreads from several places at once.
+void membership_core::RefuteSuspicion() {
+  auto names = table_.ProbedMembers();
   std::ranges::shuffle(names, random_);
-  names.resize(std::min(names.size(), kContradictions));
+  names.resize(std::min(names.size(), kMaxRefutationReceivers));
   for (const auto& name : names)
     SendRecords(table_.Find(name)->peer_address, {&table_.self()});
 }
 
-// What others tell of this region: its members may not know each other. One
-// that knows nobody yet joins at once, by the first that is named.
-void membership_core::MeetOwnRegion(const region_digest& told) {
-  for (const auto& contact : told.contacts) {
+// Members of this region may not know each other yet, so contacts that other
+// regions report for it become seeds. An entry that knows no other member sends
+// a join at once to the contacts named.
+void membership_core::AddOwnRegionContacts(const region_digest& digest) {
+  for (const auto& contact : digest.contacts) {
     if (contact.name == table_.self().name)
       continue;
     seeds_.Add(contact.peer_address);
-    if (table_.Probed().empty())
+    if (table_.ProbedMembers().empty())
       Send(contact.peer_address, message_kind::kJoin,
            join_message{table_.self()});
   }
 }
 
-// Rumours reach nearly all, and a member may miss the few messages that
-// carried one. Comparing a checksum in every message finds what was missed
-// for eight bytes.
+// Updates reach nearly all members, but a member may miss the few messages that
+// carried one. Comparing a checksum in every message detects that at a cost of
+// eight bytes.
 void membership_core::CompareTables(const peer_message& from,
                                     const gossip_block& block,
                                     time_point now) {
   if (block.table_checksum == table_.checksum()) {
-    mismatches_ = 0;
+    checksum_mismatches_ = 0;
     return;
   }
-  if (++mismatches_ >= kMismatchesToSync)
-    AskForSync(from.from, now);
+  if (++checksum_mismatches_ >= kMismatchesToSync)
+    RequestSync(from.from, now);
 }
 
-// A region is told a few times only, and whoever missed it would not know
-// where to pass requests until its contacts change.
-void membership_core::AskForRegions(const peer_message& from,
-                                    const gossip_block& block,
-                                    time_point now) {
+// The digest of a region is sent a few times only. An entry that missed it
+// could not forward requests to that region until its contacts change.
+void membership_core::RequestRegions(const peer_message& from,
+                                     const gossip_block& block,
+                                     time_point now) {
   if (block.regions_known <= regions_.digests().size() ||
-      now < next_region_ask_) {
+      now < next_region_request_) {
     return;
   }
-  next_region_ask_ = now + kRegionAskInterval;
-  sync_ask_message ask;
-  ask.first = 1;
-  ask.last = 0;
-  ask.want_regions = 1;
-  Send(from.from, message_kind::kSyncAsk, ask);
+  next_region_request_ = now + kRegionRequestInterval;
+  sync_request_message request;
+  request.first_name_id = 1;
+  request.last_name_id = 0;
+  request.want_regions = 1;
+  Send(from.from, message_kind::kSyncAsk, request);
 }
 
-// What spreads by chance leaves a few behind, with contacts that may be gone.
-// Each entry asks some other one for what it has heard least of lately.
-void membership_core::RefreshRegions(time_point now) {
-  if (now < next_refresh_)
+// Gossip leaves a few members behind by chance, with contacts that may no
+// longer exist. Each entry asks a random member for newer digests of the
+// regions for which its own are the oldest.
+void membership_core::RequestStaleRegions(time_point now) {
+  if (now < next_stale_request_)
     return;
-  next_refresh_ = now + kRefreshInterval;
-  const auto stale =
-      regions_.Stalest(kMaxRegionStamps, kStaleRegion, WallMs(now));
-  const auto names = table_.Probed();
-  if (stale.empty() || names.empty())
+  next_stale_request_ = now + kStaleRequestInterval;
+  const auto stale_regions =
+      regions_.Stalest(kMaxRegionVersions, kStaleRegionAge, WallMs(now));
+  const auto names = table_.ProbedMembers();
+  if (stale_regions.empty() || names.empty())
     return;
-  sync_ask_message ask;
-  ask.first = 1;
-  ask.last = 0;
-  for (const auto& region : stale)
-    ask.stale.push_back({region, regions_.Find(region)->as_of});
+  sync_request_message request;
+  request.first_name_id = 1;
+  request.last_name_id = 0;
+  for (const auto& region : stale_regions)
+    request.stale_regions.push_back({region, regions_.Find(region)->as_of});
   std::uniform_int_distribution<std::size_t> pick(0, names.size() - 1);
   Send(table_.Find(names[pick(random_)])->peer_address, message_kind::kSyncAsk,
-       ask);
+       request);
 }
 
-void membership_core::SendNewer(const std::string& address,
-                                const std::vector<region_stamp>& stale) {
-  records_message answer;
-  for (const auto& stamp : stale) {
-    const auto* known = regions_.Find(stamp.region);
-    if (known != nullptr && known->as_of > stamp.as_of)
-      answer.regions.push_back(*known);
+void membership_core::SendNewerRegions(
+    const std::string& address,
+    const std::vector<region_version>& stale_regions) {
+  records_message response;
+  for (const auto& version : stale_regions) {
+    const auto* known = regions_.Find(version.region);
+    if (known != nullptr && known->as_of > version.as_of)
+      response.regions.push_back(*known);
   }
-  if (!answer.regions.empty())
-    Send(address, message_kind::kRegionDigest, answer);
+  if (!response.regions.empty())
+    Send(address, message_kind::kRegionDigest, response);
 }
 
-void membership_core::AskForSync(const std::string& address, time_point now) {
+void membership_core::RequestSync(const std::string& address, time_point now) {
   if (now < next_sync_)
     return;
   next_sync_ = now + options_.sync_interval;
-  mismatches_ = 0;
-  sync_ask_message ask;
-  ask.stamps = table_.Stamps();
-  if (ask.stamps.size() > kMaxStamps) {
-    // A part of the names, another each time.
+  checksum_mismatches_ = 0;
+  sync_request_message request;
+  request.checksums = table_.MemberChecksums();
+  if (request.checksums.size() > kMaxMemberChecksums) {
+    // Covers only a part of the names, a different one each time.
     std::uniform_int_distribution<std::size_t> pick(
-        0, ask.stamps.size() - kMaxStamps);
+        0, request.checksums.size() - kMaxMemberChecksums);
     const auto begin =
-        ask.stamps.begin() + static_cast<std::ptrdiff_t>(pick(random_));
-    ask.stamps = {begin, begin + kMaxStamps};
-    ask.first = ask.stamps.front().name_id;
-    ask.last = ask.stamps.back().name_id;
+        request.checksums.begin() + static_cast<std::ptrdiff_t>(pick(random_));
+    request.checksums = {begin, begin + kMaxMemberChecksums};
+    request.first_name_id = request.checksums.front().name_id;
+    request.last_name_id = request.checksums.back().name_id;
   }
-  Send(address, message_kind::kSyncAsk, ask);
+  Send(address, message_kind::kSyncAsk, request);
 }
 
 }  // namespace samphire
--- a/src/libsamphire/membership/membership_core_receive.cc
+++ b/src/libsamphire/membership/membership_core_receive.cc
@@ -3,13 +3,15 @@
 
 #include "membership/membership_core.h"
 
-// What membership does with the messages that it receives.
+// Handling of received membership messages.
 
 namespace samphire {
 
 namespace {
 
-constexpr std::int64_t kStaleRegionMs = 60'000;
+// Age from which the digest of a region is replaced by one that names only the
+// joining entry.
+constexpr std::int64_t kStaleContactsMs = 60'000;
 
 }  // namespace
 
@@ -18,7 +20,7 @@
                               time_point now) {
   if (message.sender == table_.self().name) {
     if (message.incarnation > table_.self().incarnation)
-      events_.emplace_back(replaced{});
+      events_.emplace_back(process_replaced{});
     return;
   }
   switch (kind) {
@@ -31,7 +33,7 @@
     case message_kind::kJoin:
       return HandleJoin(message, now);
     case message_kind::kSyncAsk:
-      return HandleSyncAsk(message, now);
+      return HandleSyncRequest(message, now);
     case message_kind::kGossip:
     case message_kind::kRegionDigest:
       return HandleRecords(message, now);
@@ -48,7 +50,7 @@
   }
   Merge(message, probe->gossip, now);
   Send(message.from, message_kind::kProbeAck,
-       probe_message{probe->id, Compose(message.sender)});
+       probe_message{probe->id, BuildGossip(message.sender)});
 }
 
 void membership_core::HandleAck(const peer_message& message, time_point now) {
@@ -61,7 +63,7 @@
   const auto relayed = prober_.OnAck(ack->id);
   if (relayed) {
     Send(relayed->address, message_kind::kProbeAck,
-         probe_message{relayed->id, Compose({})});
+         probe_message{relayed->id, BuildGossip({})});
   }
 }
 
@@ -73,9 +75,9 @@
     return;
   }
   Merge(message, request->gossip, now);
-  // Only members are probed for others, so that a request can't aim probes
-  // at a stranger.
-  for (const auto& [name, known] : table_.others()) {
+  // Only known members are probed for others, so that a request cannot direct
+  // probes at arbitrary addresses.
+  for (const auto& [name, known] : table_.other_members()) {
     if (known.peer_address == request->address) {
       SendProbe(known.peer_address, name,
                 prober_.AddRelay({message.from, request->id}, now));
@@ -94,24 +96,26 @@
   const auto& joiner = join->self;
   if (joiner.region == table_.self().region) {
     SendRegions(message.from, now);
-    Note(joiner.name, table_.MergeRecord(joiner, now), true);
+    ApplyMergeResult(joiner.name, table_.MergeRecord(joiner, now), true);
     std::vector<const member*> all{&table_.self()};
-    for (const auto& [name, known] : table_.others())
+    for (const auto& [name, known] : table_.other_members())
       all.push_back(&known);
     SendRecords(message.from, all);
     return;
   }
-  // Every delegate of the fleet may knock at the same few seeds, so what one
-  // knock is answered with is bounded: this region, and the joiner's own,
-  // where it will be told the rest.
-  records_message answer{{}, {speaker_.Describe(table_, WallMs(now))}};
+  // Every delegate of the fleet may send joins to the same few seeds, so the
+  // response to one join is bounded: the digest of this region and that of the
+  // region of the joining entry, whose members will tell it the rest.
+  records_message response{{},
+                           {region_sender_.BuildDigest(table_, WallMs(now))}};
   const auto* known = regions_.Find(joiner.region);
   if (known != nullptr)
-    answer.regions.push_back(*known);
-  Send(message.from, message_kind::kRegionDigest, answer);
-  // The first to be heard of a region, or of one long silent: better than
-  // nothing until its delegates speak.
-  if (known != nullptr && WallMs(now) - known->as_of < kStaleRegionMs)
+    response.regions.push_back(*known);
+  Send(message.from, message_kind::kRegionDigest, response);
+  // The joining entry is the first known of its region, or the digest of that
+  // region is stale. It serves as the only contact until the delegates of its
+  // region send a digest.
+  if (known != nullptr && WallMs(now) - known->as_of < kStaleContactsMs)
     return;
   region_digest first;
   first.region = joiner.region;
@@ -122,30 +126,30 @@
   MergeRegions({first}, now);
 }
 
-void membership_core::HandleSyncAsk(const peer_message& message,
-                                    time_point now) {
-  const auto ask = DecodeBinary<sync_ask_message>(message.payload);
-  if (!ask) {
+void membership_core::HandleSyncRequest(const peer_message& message,
+                                        time_point now) {
+  const auto request = DecodeBinary<sync_request_message>(message.payload);
+  if (!request) {
     ++malformed_;
     return;
   }
-  if (ask->want_regions != 0)
+  if (request->want_regions != 0)
     SendRegions(message.from, now);
-  SendNewer(message.from, ask->stale);
-  const auto known_to_asker = [&ask](const member& known) {
-    const auto stamp = membership_table::StampOf(known);
-    if (stamp.name_id < ask->first || stamp.name_id > ask->last)
+  SendNewerRegions(message.from, request->stale_regions);
+  const auto known_to_requester = [&request](const member& known) {
+    const auto own = membership_table::ChecksumOf(known);
+    if (own.name_id < request->first_name_id ||
+        own.name_id > request->last_name_id)
       return true;
-    return std::ranges::any_of(ask->stamps, [&stamp](const auto& theirs) {
-      return theirs.name_id == stamp.name_id &&
-             theirs.checksum == stamp.checksum;
+    return std::ranges::any_of(request->checksums, [&own](const auto& theirs) {
+      return theirs.name_id == own.name_id && theirs.checksum == own.checksum;
     });
   };
   std::vector<const member*> missing;
-  if (!known_to_asker(table_.self()))
+  if (!known_to_requester(table_.self()))
     missing.push_back(&table_.self());
-  for (const auto& [name, known] : table_.others()) {
-    if (!known_to_asker(known))
+  for (const auto& [name, known] : table_.other_members()) {
+    if (!known_to_requester(known))
       missing.push_back(&known);
   }
   SendRecords(message.from, missing);
@@ -160,9 +164,9 @@
   }
   for (const auto& seen : records->members) {
     const auto* known = table_.Find(seen.name);
-    const bool in_full =
+    const bool full_record =
         known == nullptr || known->incarnation < seen.incarnation;
-    Note(seen.name, table_.MergeRecord(seen, now), in_full);
+    ApplyMergeResult(seen.name, table_.MergeRecord(seen, now), full_record);
   }
   MergeRegions(records->regions, now);
 }
--- a/src/libsamphire/membership/membership_event.h
+++ b/src/libsamphire/membership/membership_event.h
@@ -9,22 +9,28 @@
 
 namespace samphire {
 
-// A member of the own region came, changed its state or process, or died.
+// A member of the own region joined, changed its state, restarted, or was
+// declared dead.
 struct member_changed {
   member now;
 };
 
-// A peer has this version in force. A digest of 0 is not known.
-struct config_heard {
+// A peer reports a newer configuration version in force than the own one. A
+// digest of 0 means unknown.
+struct peer_config_seen {
   std::uint64_t version = 0;
   std::uint64_t digest = 0;
+  // Address of the peer that has the configuration.
   std::string peer_address;
 };
 
-// Another process runs under this one's name, started later.
-struct replaced {};
+// A process that started later runs under this process's name, so this one has
+// been replaced and must stop.
+struct process_replaced {};
 
-using membership_event = std::variant<member_changed, config_heard, replaced>;
+// What membership reports to the rest of the entry.
+using membership_event =
+    std::variant<member_changed, peer_config_seen, process_replaced>;
 
 }  // namespace samphire
 
--- a/src/libsamphire/membership/membership_message.h
+++ b/src/libsamphire/membership/membership_message.h
@@ -10,7 +10,8 @@
 
 namespace samphire {
 
-// kProbe: are you there? Answered by kProbeAck with the same id.
+// kProbe: checks that the receiver is alive, which responds with a kProbeAck of
+// the same id.
 struct probe_message {
   std::uint64_t id = 0;
   gossip_block gossip;
@@ -21,7 +22,8 @@
   }
 };
 
-// kProbeRequest: probe this address for me, and pass its ack on.
+// kProbeRequest: asks the receiver to probe `address` on behalf of the sender
+// and to forward the ack (indirect probe).
 struct probe_request_message {
   std::uint64_t id = 0;
   std::string address;
@@ -29,11 +31,11 @@
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(id, Bounded<kMaxAddress>(address), gossip);
+    archive(id, Bounded<kMaxAddressBytes>(address), gossip);
   }
 };
 
-// kJoin: here I am; tell me of the others.
+// kJoin: announces the sender and requests the records of the other members.
 struct join_message {
   member self;
 
@@ -43,8 +45,9 @@
   }
 };
 
-// One member in a kSyncAsk: who, and a checksum of what is known.
-struct member_stamp {
+// One member in a kSyncAsk: a hash of its name, and a checksum of what the
+// sender knows of it.
+struct member_checksum {
   std::uint32_t name_id = 0;
   std::uint32_t checksum = 0;
 
@@ -54,40 +57,46 @@
   }
 };
 
-inline constexpr std::size_t kMaxStamps = 120;
+// Bounds the member checksums in one kSyncAsk, 8 bytes each.
+inline constexpr std::size_t kMaxMemberChecksums = 120;
 
-// One region in a kSyncAsk: how new what is known of it is.
-struct region_stamp {
+// One region in a kSyncAsk: the time of day, in milliseconds, of the newest
+// digest that the sender has of it.
+struct region_version {
   std::string region;
   std::int64_t as_of = 0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(Bounded<kMaxPlaceName>(region), as_of);
+    archive(Bounded<kMaxMemberLocationBytes>(region), as_of);
   }
 };
 
-inline constexpr std::size_t kMaxRegionStamps = 4;
-
-// kSyncAsk: what do you know of the names from `first` to `last` that these
-// stamps lack? Answered by kGossip.
-struct sync_ask_message {
-  std::uint32_t first = 0;
-  std::uint32_t last = UINT32_MAX;
-  // 1: and tell me of all regions.
+// Bounds the region versions in one kSyncAsk.
+inline constexpr std::size_t kMaxRegionVersions = 4;
+
+// kSyncAsk: requests the records of all members whose name hash is from
+// `first_name_id` to `last_name_id` and whose checksum is missing from
+// `checksums` or differs. The response is kGossip. An empty range
+// (`first_name_id` above `last_name_id`) requests no members.
+struct sync_request_message {
+  std::uint32_t first_name_id = 0;
+  std::uint32_t last_name_id = UINT32_MAX;
+  // 1: requests the digests of all regions as well.
   std::uint8_t want_regions = 0;
-  std::vector<member_stamp> stamps;
-  // Do you know anything newer of these?
-  std::vector<region_stamp> stale;
+  std::vector<member_checksum> checksums;
+  // Requests newer digests of these regions, if the receiver has any.
+  std::vector<region_version> stale_regions;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(first, last, want_regions, Bounded<kMaxStamps>(stamps),
-            Bounded<kMaxRegionStamps>(stale));
+    archive(first_name_id, last_name_id, want_regions,
+            Bounded<kMaxMemberChecksums>(checksums),
+            Bounded<kMaxRegionVersions>(stale_regions));
   }
 };
 
-// kGossip: members in full. kRegionDigest: regions.
+// kGossip: complete records of members. kRegionDigest: digests of regions.
 struct records_message {
   std::vector<member> members;
   std::vector<region_digest> regions;
--- a/src/libsamphire/membership/membership_options.h
+++ b/src/libsamphire/membership/membership_options.h
@@ -7,25 +7,36 @@
 
 namespace samphire {
 
-// The pace of membership. Bytes per node follow from it and not from the size
-// of the fleet.
+// Intervals and limits of the membership protocol. The bytes that a node sends
+// follow from them and do not depend on the size of the fleet.
 struct membership_options {
+  // Time between the probes that one entry starts. A probe without any ack
+  // within this time makes its subject suspected.
   milliseconds probe_interval{1000};
-  // After this time without an ack others are asked to probe.
-  milliseconds direct_timeout{300};
+  // Time without an ack after which other members are asked to probe
+  // indirectly.
+  milliseconds direct_probe_timeout{300};
+  // Number of members that are asked to probe indirectly.
   std::size_t indirect_probes = 3;
-  // How long a suspect has to speak up, for ten members; it grows with the
-  // logarithm, as news takes longer to reach all.
-  milliseconds suspicion{4000};
-  // How long a dead member is remembered and knocked at now and then. Regions
-  // lose each other for an hour; after that the platform's list must do.
-  milliseconds tombstone{7'200'000};
-  milliseconds knock_interval{5000};
+  // Time that a suspected member has to refute the suspicion, in a region of
+  // ten members. It grows with the logarithm of the number of members, as
+  // updates take longer to reach all of them.
+  milliseconds suspicion_timeout{4000};
+  // Time for which a dead member is remembered and still sent a join now and
+  // then. Regions may be cut off from each other for an hour; after a longer
+  // time only the instance list of the platform helps them find each other.
+  milliseconds tombstone_retention{7'200'000};
+  // Time between rounds of joins to seeds and dead members, while some part of
+  // the fleet is not reachable.
+  milliseconds join_retry_interval{5000};
+  // Time between the digests that a delegate sends to other regions.
   milliseconds region_interval{2000};
+  // Minimum time between requests for missing member records.
   milliseconds sync_interval{5000};
-  // Bytes of news in one message.
-  std::size_t gossip_budget = 320;
-  // Members of a region that speak with other regions.
+  // Bytes of piggybacked updates in one message.
+  std::size_t gossip_budget_bytes = 320;
+  // Number of members of a region (its delegates) that exchange digests with
+  // other regions.
   std::size_t delegates = 2;
 };
 
--- a/src/libsamphire/membership/membership_service.cc
+++ b/src/libsamphire/membership/membership_service.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-// A third of the direct timeout of a probe, which is the finest time that
-// membership counts.
+// A third of the direct probe timeout, which is the shortest time that the
+// protocol measures.
 constexpr milliseconds kTickInterval{100};
 
 constexpr auto kHandledKinds = std::to_array(
@@ -35,12 +35,12 @@
       core_(std::move(self), options, clock.now(), clock.wall_now(), seed) {
   for (const auto kind : kHandledKinds) {
     transport_.OnMessage(kind, [this, kind](const peer_message& message) {
-      With([&] { core_.Receive(kind, message, clock_.now()); });
+      WithCore([&] { core_.Receive(kind, message, clock_.now()); });
     });
   }
 }
 
-// The transport outlives this object and may be delivering.
+// The transport outlives this object and may be delivering a message.
 membership_service::~membership_service() {
   Stop();
 }
@@ -66,17 +66,17 @@
 
 void membership_service::Tick() {
   std::size_t up = 0;
-  With([&] {
+  WithCore([&] {
     core_.Tick(clock_.now());
-    up = core_.table().Probed().size() + 1;
+    up = core_.table().ProbedMembers().size() + 1;
   });
   metrics_.Set("members_up", {}, static_cast<double>(up));
 }
 
-// The messages leave and the slots run without the lock: a send may block,
-// and a slot may well ask this object for its members.
+// Messages are sent and callbacks run without the lock: a send may block, and a
+// callback may call this object for its members.
 template <typename F>
-void membership_service::With(F&& change) {
+void membership_service::WithCore(F&& change) {
   std::vector<outgoing_message> outgoing;
   std::vector<membership_event> events;
   {
@@ -92,10 +92,10 @@
       metrics_.CountRetry(sent.error().code);
   }
   for (const auto& event : events)
-    Tell(event);
+    DispatchEvent(event);
 }
 
-void membership_service::Tell(const membership_event& event) const {
+void membership_service::DispatchEvent(const membership_event& event) const {
   if (const auto* change = std::get_if<member_changed>(&event)) {
     const auto state = NameOf(kMemberStateNames, change->now.state);
     metrics_.Count("member_changes_total", fmt::format("state=\"{}\"", state));
@@ -105,9 +105,9 @@
          {"state", state}});
     if (on_member_changed)
       on_member_changed(change->now);
-  } else if (const auto* heard = std::get_if<config_heard>(&event)) {
+  } else if (const auto* seen = std::get_if<peer_config_seen>(&event)) {
     if (on_config_version)
-      on_config_version(heard->version, heard->digest, heard->peer_address);
+      on_config_version(seen->version, seen->digest, seen->peer_address);
   } else {
     Log(log_level::kError, "instance-replaced");
     if (on_replaced)
@@ -116,22 +116,22 @@
 }
 
 void membership_service::AddSeeds(const std::vector<std::string>& addresses) {
-  With([&] { core_.AddSeeds(addresses); });
+  WithCore([&] { core_.AddSeeds(addresses); });
 }
 
 void membership_service::SetSelf(member_digest digest,
                                  std::uint64_t config_digest) {
-  With([&] { core_.SetSelf(std::move(digest), config_digest); });
+  WithCore([&] { core_.SetSelf(std::move(digest), config_digest); });
 }
 
 void membership_service::AnnounceLeaving() {
-  With([&] { core_.AnnounceLeaving(); });
+  WithCore([&] { core_.AnnounceLeaving(); });
 }
 
 std::vector<member> membership_service::members() const {
   std::lock_guard guard(lock_);
   std::vector<member> all{core_.table().self()};
-  for (const auto& [name, known] : core_.table().others())
+  for (const auto& [name, known] : core_.table().other_members())
     all.push_back(known);
   return all;
 }
@@ -142,7 +142,7 @@
   const auto& table = core_.table();
   std::vector<region_contact> entries;
   if (region == table.self().region) {
-    for (const auto& name : table.Working()) {
+    for (const auto& name : table.AliveMembers()) {
       const auto& known = *table.Find(name);
       entries.push_back({name, known.caller_address, known.peer_address});
     }
@@ -171,17 +171,17 @@
                                  std::size_t count) const {
   std::lock_guard guard(lock_);
   const auto& table = core_.table();
-  const auto holders = PickByRendezvous(role, table.Working(), count);
-  return std::ranges::find(holders, table.self().name) != holders.end();
+  const auto role_owners = PickByRendezvous(role, table.AliveMembers(), count);
+  return std::ranges::find(role_owners, table.self().name) != role_owners.end();
 }
 
-std::string membership_service::HolderOf(std::string_view role) const {
+std::string membership_service::RoleOwnerAddress(std::string_view role) const {
   std::lock_guard guard(lock_);
   const auto& table = core_.table();
-  const auto holders = PickByRendezvous(role, table.Working(), 1);
-  if (holders.empty() || holders.front() == table.self().name)
+  const auto role_owners = PickByRendezvous(role, table.AliveMembers(), 1);
+  if (role_owners.empty() || role_owners.front() == table.self().name)
     return {};
-  return table.Find(holders.front())->peer_address;
+  return table.Find(role_owners.front())->peer_address;
 }
 
 bool membership_service::IsDelegate() const {
--- a/src/libsamphire/membership/membership_service.h
+++ b/src/libsamphire/membership/membership_service.h
@@ -22,11 +22,14 @@
 
 namespace samphire {
 
-// Runs membership over a transport, with a thread of its own. Safe to use
-// from several threads. The slots run on the thread that received the news,
-// without any lock of this class, and must not block.
+// Runs membership over a transport, with a thread of its own. All functions may
+// be called by any thread. The callbacks run on the thread that received the
+// message, or on the own thread, without any lock of this class held. They must
+// not block.
 class membership_service {
  public:
+  // The transport, the clock and the registry must outlive this object. `seed`
+  // starts the random generator of the protocol.
   membership_service(member self,
                      const membership_options& options,
                      peer_transport& transport,
@@ -38,50 +41,64 @@
   membership_service(const membership_service&) = delete;
   membership_service& operator=(const membership_service&) = delete;
 
-  // Set before Start. A digest of 0 is not known.
+  // Called when a member of the own region joins, changes its state or process,
+  // or is declared dead. All callbacks must be set before Start().
   std::function<void(const member&)> on_member_changed;
+  // Called when a peer reports a newer configuration. A digest of 0 means
+  // unknown.
   std::function<void(std::uint64_t version,
                      std::uint64_t digest,
                      const std::string& peer_address)>
       on_config_version;
-  // A later process runs on this instance: this one has to stop.
+  // Called when a process that started later runs on this instance. This
+  // process then has to stop.
   std::function<void()> on_replaced;
 
+  // Starts the thread.
   void Start();
-  // Afterwards no slot runs any more.
+  // Stops the thread. Afterwards no callback runs any more.
   void Stop();
 
+  // Adds peer addresses by which the fleet can be joined.
   void AddSeeds(const std::vector<std::string>& addresses);
-  // What others shall know of this entry; called about once a second and on a
-  // change of configuration.
+  // Sets what other members learn of this entry; called about once a second and
+  // on every change of configuration.
   void SetSelf(member_digest digest, std::uint64_t config_digest);
+  // Tells all members that this entry accepts no new work.
   void AnnounceLeaving();
 
-  // All of the own region, this entry first.
+  // Returns all known members of the own region, dead ones included, this entry
+  // first.
   std::vector<member> members() const;
-  // Entries of a region that take work, in an order of this entry's own, so
-  // that entries spread over them. The own region lists its members.
+  // Returns the entries of a region that accept work, in an order specific to
+  // this entry, so that the choices of different entries spread over them. For
+  // the own region these are its alive members, for any other its contacts.
   std::vector<region_contact> EntriesOf(std::string_view region) const;
-  // Every other region that has been heard of.
+  // Returns every other known region.
   std::vector<region_view> regions() const;
 
-  // Whether this entry is one of the `count` of its region that have a role.
+  // Whether this entry is one of the `count` entries of its region that have a
+  // role, by rendezvous hashing over the alive members.
   bool HasRole(std::string_view role, std::size_t count) const;
-  // The peer address of the one entry of the region that has a role; empty
-  // when it is this one, or when none works.
-  std::string HolderOf(std::string_view role) const;
+  // Returns the peer address of the one entry of the region that has a role;
+  // empty if it is this entry, or if no member is alive.
+  std::string RoleOwnerAddress(std::string_view role) const;
+  // Whether this entry is one of the `count` of its region that watch the
+  // object store themselves.
   bool IsWatcher(std::size_t count) const { return HasRole("watcher", count); }
+  // Whether this entry exchanges digests with other regions for its region.
   bool IsDelegate() const;
 
-  // One step of the thread, for tests.
+  // Runs one iteration of the thread, for tests.
   void Tick();
 
  private:
   void Run(const std::stop_token& stop);
-  // Runs `change` on the core under the lock, then sends and tells.
+  // Runs `change` on the core under the lock, then sends the collected messages
+  // and reports the events.
   template <typename F>
-  void With(F&& change);
-  void Tell(const membership_event& event) const;
+  void WithCore(F&& change);
+  void DispatchEvent(const membership_event& event) const;
 
   peer_transport& transport_;
   const clock_source& clock_;
--- a/src/libsamphire/membership/membership_table.cc
+++ b/src/libsamphire/membership/membership_table.cc
@@ -14,8 +14,8 @@
   return known.state != member_state::kDead;
 }
 
-// A suspect counts as the state it had: whether it answers is seen
-// differently by different members, and they would compare forever.
+// Whether a member is suspected does not count: some members get its answers
+// and others do not, so their checksums would never agree.
 std::uint64_t Fingerprint(const member& known) {
   const auto seed =
       known.incarnation * 2 + (known.state == member_state::kLeaving ? 1 : 0);
@@ -30,121 +30,127 @@
   self_.digest.process_id = ProcessId(self_.name, self_.incarnation);
 }
 
-membership_table::effect membership_table::MergeRecord(const member& seen,
-                                                       time_point now) {
+membership_table::merge_result membership_table::MergeRecord(const member& seen,
+                                                             time_point now) {
   if (seen.name == self_.name)
     return MergeSelf(seen);
-  // A member of another region would be probed across regions, and its news
-  // would fill this region's messages.
+  // A member of another region would be probed across regions, and updates on
+  // it would fill the messages of this region.
   if (seen.region != self_.region || seen.name.empty())
-    return effect::kNone;
-  const auto found = others_.find(seen.name);
-  if (found == others_.end() || found->second.incarnation < seen.incarnation) {
-    if (found != others_.end())
-      by_process_.erase(
+    return merge_result::kNone;
+  const auto found = other_members_.find(seen.name);
+  if (found == other_members_.end() ||
+      found->second.incarnation < seen.incarnation) {
+    if (found != other_members_.end())
+      name_by_process_id_.erase(
           ProcessId(found->second.name, found->second.incarnation));
-    // The death of a process that was never known is no news.
-    if (found == others_.end() && seen.state == member_state::kDead)
-      return effect::kNone;
-    by_process_[ProcessId(seen.name, seen.incarnation)] = seen.name;
-    auto& known = others_[seen.name] = seen;
+    // The death of a process that was never known here is not worth forwarding.
+    if (found == other_members_.end() && seen.state == member_state::kDead)
+      return merge_result::kNone;
+    name_by_process_id_[ProcessId(seen.name, seen.incarnation)] = seen.name;
+    auto& known = other_members_[seen.name] = seen;
     known.digest.process_id = ProcessId(seen.name, seen.incarnation);
-    NoteTime(seen, now);
-    return effect::kChanged;
+    UpdateTimer(seen, now);
+    return merge_result::kChanged;
   }
   MergeDigest(seen.digest);
-  return Adopt(found->second, RumourOf(seen), now);
+  return ApplyIfNewer(found->second, UpdateOf(seen), now);
 }
 
-membership_table::effect membership_table::MergeRumour(
-    const member_rumour& seen,
+membership_table::merge_result membership_table::MergeUpdate(
+    const member_update& seen,
     time_point now) {
   if (seen.name == self_.name)
     return MergeSelf(seen);
-  const auto found = others_.find(seen.name);
-  if (found == others_.end() || found->second.incarnation < seen.incarnation) {
-    return seen.state == member_state::kDead ? effect::kNone : effect::kUnknown;
+  const auto found = other_members_.find(seen.name);
+  if (found == other_members_.end() ||
+      found->second.incarnation < seen.incarnation) {
+    return seen.state == member_state::kDead ? merge_result::kNone
+                                             : merge_result::kUnknownMember;
   }
-  return Adopt(found->second, seen, now);
+  return ApplyIfNewer(found->second, seen, now);
 }
 
-membership_table::effect membership_table::Adopt(member& known,
-                                                 const member_rumour& seen,
-                                                 time_point now) {
+membership_table::merge_result membership_table::ApplyIfNewer(
+    member& known,
+    const member_update& seen,
+    time_point now) {
   if (seen.rank() <= known.rank())
-    return effect::kNone;
+    return merge_result::kNone;
   known.refutation = seen.refutation;
   known.state = seen.state;
-  NoteTime(known, now);
-  return effect::kChanged;
+  UpdateTimer(known, now);
+  return merge_result::kChanged;
 }
 
-// A false suspicion: messages were lost or a link was cut one way. The members
-// would declare this process dead and stop sending it work, though it serves.
-// Only the process itself can raise its count, so the contradiction wins over
-// the suspicion wherever both arrive.
+// Refutes a false suspicion, which arises when messages are lost or a link is
+// cut in one direction. The members would declare this process dead and stop
+// sending it work although it serves. Only the process itself can raise its
+// refutation count, so the refutation prevails over the suspicion wherever both
+// arrive.
 template <typename T>
-membership_table::effect membership_table::MergeSelf(const T& seen) {
+membership_table::merge_result membership_table::MergeSelf(const T& seen) {
   if (seen.incarnation > self_.incarnation)
-    return effect::kReplaced;
+    return merge_result::kProcessReplaced;
   if (seen.incarnation < self_.incarnation || seen.rank() <= self_.rank())
-    return effect::kNone;
+    return merge_result::kNone;
   self_.refutation = seen.refutation + 1;
-  return effect::kRefuted;
+  return merge_result::kSuspicionRefuted;
 }
 
 void membership_table::MergeDigest(const member_digest& seen) {
-  const auto process = by_process_.find(seen.process_id);
-  if (process == by_process_.end())
+  const auto process = name_by_process_id_.find(seen.process_id);
+  if (process == name_by_process_id_.end())
     return;
-  auto& known = others_.find(process->second)->second.digest;
+  auto& known = other_members_.find(process->second)->second.digest;
   if (seen.sequence > known.sequence)
     known = seen;
 }
 
-membership_table::effect membership_table::Suspect(const std::string& name,
-                                                   time_point now) {
-  const auto found = others_.find(name);
-  if (found == others_.end())
-    return effect::kNone;
-  auto rumour = RumourOf(found->second);
-  rumour.state = member_state::kSuspect;
-  return Adopt(found->second, rumour, now);
+membership_table::merge_result membership_table::MarkSuspected(
+    const std::string& name,
+    time_point now) {
+  const auto found = other_members_.find(name);
+  if (found == other_members_.end())
+    return merge_result::kNone;
+  auto update = UpdateOf(found->second);
+  update.state = member_state::kSuspect;
+  return ApplyIfNewer(found->second, update, now);
 }
 
-void membership_table::NoteTime(const member& known, time_point now) {
+void membership_table::UpdateTimer(const member& known, time_point now) {
   if (known.state == member_state::kSuspect)
-    due_[known.name] = now + SuspicionTime();
+    timer_due_[known.name] = now + SuspicionTime();
   else if (known.state == member_state::kDead)
-    due_[known.name] = now + options_.tombstone;
+    timer_due_[known.name] = now + options_.tombstone_retention;
   else
-    due_.erase(known.name);
+    timer_due_.erase(known.name);
 }
 
 std::vector<std::string> membership_table::Expire(time_point now) {
   std::vector<std::string> died;
-  for (auto it = due_.begin(); it != due_.end();) {
+  for (auto it = timer_due_.begin(); it != timer_due_.end();) {
     if (it->second > now) {
       ++it;
       continue;
     }
-    auto& known = others_.find(it->first)->second;
+    auto& known = other_members_.find(it->first)->second;
     if (known.state == member_state::kSuspect) {
       known.state = member_state::kDead;
-      it->second = now + options_.tombstone;
+      it->second = now + options_.tombstone_retention;
       died.push_back(known.name);
       ++it;
     } else {
-      by_process_.erase(ProcessId(known.name, known.incarnation));
-      others_.erase(it->first);
-      it = due_.erase(it);
+      name_by_process_id_.erase(ProcessId(known.name, known.incarnation));
+      other_members_.erase(it->first);
+      it = timer_due_.erase(it);
     }
   }
   return died;
 }
 
-void membership_table::Postpone(duration by) {
-  for (auto& [name, due] : due_)
+void membership_table::PostponeTimers(duration by) {
+  for (auto& [name, due] : timer_due_)
     due += by;
 }
 
@@ -163,22 +169,22 @@
 const member* membership_table::Find(std::string_view name) const {
   if (name == self_.name)
     return &self_;
-  const auto found = others_.find(name);
-  return found == others_.end() ? nullptr : &found->second;
+  const auto found = other_members_.find(name);
+  return found == other_members_.end() ? nullptr : &found->second;
 }
 
-std::vector<std::string> membership_table::Probed() const {
+std::vector<std::string> membership_table::ProbedMembers() const {
   std::vector<std::string> names;
-  for (const auto& [name, known] : others_) {
+  for (const auto& [name, known] : other_members_) {
     if (IsUp(known))
       names.push_back(name);
   }
   return names;
 }
 
-std::vector<std::string> membership_table::Working() const {
+std::vector<std::string> membership_table::AliveMembers() const {
   std::vector<std::string> names;
-  for (const auto& [name, known] : others_) {
+  for (const auto& [name, known] : other_members_) {
     if (known.state == member_state::kAlive)
       names.push_back(name);
   }
@@ -187,9 +193,9 @@
   return names;
 }
 
-std::vector<std::string> membership_table::Dead() const {
+std::vector<std::string> membership_table::DeadMembers() const {
   std::vector<std::string> names;
-  for (const auto& [name, known] : others_) {
+  for (const auto& [name, known] : other_members_) {
     if (!IsUp(known))
       names.push_back(name);
   }
@@ -198,35 +204,36 @@
 
 std::uint64_t membership_table::checksum() const {
   std::uint64_t sum = Fingerprint(self_);
-  for (const auto& [name, known] : others_) {
+  for (const auto& [name, known] : other_members_) {
     if (IsUp(known))
       sum ^= Fingerprint(known);
   }
   return sum;
 }
 
-member_stamp membership_table::StampOf(const member& known) {
+member_checksum membership_table::ChecksumOf(const member& known) {
   return {ProcessId(known.name, 0),
           static_cast<std::uint32_t>(Fingerprint(known))};
 }
 
-std::vector<member_stamp> membership_table::Stamps() const {
-  std::vector<member_stamp> stamps{StampOf(self_)};
-  for (const auto& [name, known] : others_) {
+std::vector<member_checksum> membership_table::MemberChecksums() const {
+  std::vector<member_checksum> checksums{ChecksumOf(self_)};
+  for (const auto& [name, known] : other_members_) {
     if (IsUp(known))
-      stamps.push_back(StampOf(known));
+      checksums.push_back(ChecksumOf(known));
   }
-  std::ranges::sort(stamps, {}, &member_stamp::name_id);
-  return stamps;
+  std::ranges::sort(checksums, {}, &member_checksum::name_id);
+  return checksums;
 }
 
-// A suspicion must reach the suspect, and its answer must reach everyone,
-// before the time is over. Both take a number of rounds that grows with the
-// logarithm of the members.
+// A suspicion must reach the suspected member, and the refutation must reach
+// all members, before the time is over. Both take a number of gossip rounds
+// that grows with the logarithm of the number of members.
 duration membership_table::SuspicionTime() const {
-  const auto count = static_cast<double>(others_.size() + 1);
+  const auto count = static_cast<double>(other_members_.size() + 1);
   const double factor = std::max(1.0, std::log10(count));
-  return std::chrono::duration_cast<duration>(options_.suspicion * factor);
+  return std::chrono::duration_cast<duration>(options_.suspicion_timeout *
+                                              factor);
 }
 
 }  // namespace samphire
--- a/src/libsamphire/membership/membership_table.h
+++ b/src/libsamphire/membership/membership_table.h
@@ -10,75 +10,95 @@
 
 #include "base/clock_source.h"
 #include "membership/member.h"
-#include "membership/member_rumour.h"
+#include "membership/member_update.h"
 #include "membership/membership_message.h"
 #include "membership/membership_options.h"
 
 namespace samphire {
 
-// What one entry knows of the members of its region, itself included. Pure:
-// the time is a parameter.
+// What one entry knows of the members of its region, itself included. Does no
+// I/O and reads no clock: the time is a parameter. Not thread-safe.
 class membership_table {
  public:
-  enum class effect {
+  // What a report on a member changed.
+  enum class merge_result {
     kNone,
-    // News that others should hear.
+    // The member changed; other members should be told.
     kChanged,
-    // Others hold this process for suspect or dead, which was contradicted.
-    kRefuted,
-    // A later process runs under this one's name.
-    kReplaced,
-    // A rumour of a member without a record.
-    kUnknown,
+    // Other members suspect this process or have declared it dead. It has
+    // raised its refutation count; the caller sends the refutation.
+    kSuspicionRefuted,
+    // A process that started later runs under this process's name.
+    kProcessReplaced,
+    // An update on a member without a record; the caller requests the record.
+    kUnknownMember,
   };
 
   membership_table(member self, const membership_options& options);
 
-  effect MergeRecord(const member& seen, time_point now);
-  effect MergeRumour(const member_rumour& seen, time_point now);
+  // Each takes in a report from a peer, unless what is known is newer.
+  merge_result MergeRecord(const member& seen, time_point now);
+  merge_result MergeUpdate(const member_update& seen, time_point now);
   void MergeDigest(const member_digest& seen);
-  // Marks a member that did not answer.
-  effect Suspect(const std::string& name, time_point now);
+  // Marks a member that did not answer probes as suspected.
+  merge_result MarkSuspected(const std::string& name, time_point now);
 
-  // Declares suspects dead whose time is over and forgets the long dead.
-  // Returns the names of those that died.
+  // Declares suspected members dead whose time for a refutation is over, and
+  // removes members that have been dead for the retention time. Returns the
+  // names of those declared dead.
   std::vector<std::string> Expire(time_point now);
-  // Gives all suspects `by` more time.
-  void Postpone(duration by);
+  // Moves all pending timers of suspected and dead members `by` later.
+  void PostponeTimers(duration by);
 
-  // The own record; a change must be told to others by the caller.
+  // Set the own record. The caller has to tell other members of the change.
   void SetState(member_state state);
   void SetDigest(member_digest digest);
 
   const member& self() const { return self_; }
+  // Returns the member of that name, this entry included, or null.
   const member* Find(std::string_view name) const;
-  // All but this one, in the order of names.
-  const std::map<std::string, member, std::less<>>& others() const {
-    return others_;
+  // All known members except this entry, dead ones included, in the order of
+  // their names.
+  const std::map<std::string, member, std::less<>>& other_members() const {
+    return other_members_;
   }
-  // Names of others that answer probes, or may.
-  std::vector<std::string> Probed() const;
-  // Names, this one's included, of those that take work.
-  std::vector<std::string> Working() const;
-  std::vector<std::string> Dead() const;
+  // Names of the other members that are not declared dead, which are those that
+  // are probed.
+  std::vector<std::string> ProbedMembers() const;
+  // Names of the members that accept work, possibly including this entry.
+  std::vector<std::string> AliveMembers() const;
+  // Names of the members that are declared dead.
+  std::vector<std::string> DeadMembers() const;
 
+  // Checksum over all members that are not dead; equal on entries that know the
+  // same members and processes.
   std::uint64_t checksum() const;
-  std::vector<member_stamp> Stamps() const;
-  static member_stamp StampOf(const member& known);
+  // Checksums of the single members that are not dead, in the order of name
+  // hashes.
+  std::vector<member_checksum> MemberChecksums() const;
+  // Returns the checksum of one member, by its name, process and whether it is
+  // leaving.
+  static member_checksum ChecksumOf(const member& known);
+  // Time that a suspected member has for a refutation, at the present number of
+  // members.
   duration SuspicionTime() const;
 
  private:
   template <typename T>
-  effect MergeSelf(const T& seen);
-  effect Adopt(member& known, const member_rumour& seen, time_point now);
-  void NoteTime(const member& known, time_point now);
+  merge_result MergeSelf(const T& seen);
+  merge_result ApplyIfNewer(member& known,
+                            const member_update& seen,
+                            time_point now);
+  void UpdateTimer(const member& known, time_point now);
 
   member self_;
   const membership_options options_;
-  std::map<std::string, member, std::less<>> others_;
-  // When a suspect is declared dead, or a dead one forgotten.
-  std::map<std::string, time_point, std::less<>> due_;
-  std::map<std::uint32_t, std::string> by_process_;
+  std::map<std::string, member, std::less<>> other_members_;
+  // Time at which a suspected member is declared dead, or a dead one is
+  // removed.
+  std::map<std::string, time_point, std::less<>> timer_due_;
+  // Names by ProcessId(), to find the member that a digest describes.
+  std::map<std::uint32_t, std::string> name_by_process_id_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/membership/new_incarnation.h
+++ b/src/libsamphire/membership/new_incarnation.h
@@ -5,8 +5,9 @@
 
 namespace samphire {
 
-// A number for a process that starts now, higher than that of any that started
-// earlier on its instance.
+// Returns the incarnation of a process that starts now, higher than that of any
+// that started earlier on the same instance: the time of day in microseconds.
+// May be called by any thread.
 std::uint64_t NewIncarnation();
 
 }  // namespace samphire
--- a/src/libsamphire/membership/outgoing_message.h
+++ b/src/libsamphire/membership/outgoing_message.h
@@ -7,7 +7,8 @@
 
 namespace samphire {
 
-// A message that is to be sent.
+// A message that membership wants sent to the peer at `address` (IP:PORT). The
+// payload is encoded but neither sealed nor signed.
 struct outgoing_message {
   std::string address;
   message_kind kind = message_kind::kProbe;
--- a/src/libsamphire/membership/prober.cc
+++ b/src/libsamphire/membership/prober.cc
@@ -7,17 +7,19 @@
 
 namespace {
 
-// Probes on behalf of others that are remembered: several times what a region
-// of a few hundred members causes even when a failure domain is lost.
+// Bounds the pending probes on behalf of other members. It is several times
+// what a region of a few hundred members causes even when a failure domain is
+// lost.
 constexpr std::size_t kMaxRelays = 256;
-// Silent members that are probed again at every interval. When a failure
-// domain is lost, more would multiply this entry's messages.
-constexpr std::size_t kMaxRechecks = 3;
+// Bounds the unresponsive members that are probed again at every interval. When
+// a failure domain is lost, more would multiply the messages of this entry.
+constexpr std::size_t kMaxReprobes = 3;
 
 }  // namespace
 
-// The start within the first interval is random, since entries that are
-// started together would otherwise probe in step for as long as they live.
+// The first probe is at a random time within the first interval, since entries
+// that are started together would otherwise probe in step for as long as they
+// run.
 prober::prober(const membership_options& options,
                time_point now,
                std::mt19937_64& random)
@@ -27,96 +29,97 @@
   next_probe_ = now + milliseconds(pick(random_));
 }
 
-std::vector<prober::order> prober::Tick(const membership_table& table,
-                                        time_point now) {
-  std::vector<order> orders;
+std::vector<prober::probe_action> prober::Tick(const membership_table& table,
+                                               time_point now) {
+  std::vector<probe_action> actions;
   for (auto it = probes_.begin(); it != probes_.end();) {
     auto& [id, probe] = *it;
-    if (now >= probe.give_up_at) {
-      orders.push_back({action::kSuspect, id, probe.subject, {}});
-      if (silent_.size() < kMaxRechecks)
-        silent_.insert(probe.subject);
+    if (now >= probe.expires_at) {
+      actions.push_back({action_kind::kSuspect, id, probe.subject, {}});
+      if (unresponsive_.size() < kMaxReprobes)
+        unresponsive_.insert(probe.subject);
       it = probes_.erase(it);
       continue;
     }
-    if (!probe.asked && now >= probe.ask_at)
-      AskHelpers(table, id, probe, orders);
+    if (!probe.indirect_requested && now >= probe.indirect_at)
+      RequestIndirectProbes(table, id, probe, actions);
     ++it;
   }
   std::erase_if(relays_, [now](const auto& entry) {
-    return now >= entry.second.give_up_at;
+    return now >= entry.second.expires_at;
   });
   if (now >= next_probe_) {
-    Recheck(table, now, orders);
-    StartProbe(table, now, orders);
+    ReprobeUnresponsive(table, now, actions);
+    StartProbe(table, now, actions);
     next_probe_ = std::max(next_probe_ + options_.probe_interval, now);
   }
-  return orders;
+  return actions;
 }
 
 void prober::StartProbe(const membership_table& table,
                         time_point now,
-                        std::vector<order>& orders) {
+                        std::vector<probe_action>& actions) {
   const auto subject = NextSubject(table);
   if (subject)
-    Probe(*subject, now, orders);
+    Probe(*subject, now, actions);
 }
 
-// A suspect has a few seconds to contradict, and first has to hear of it.
-// Under loss one message may not do; without these a member that serves would
-// be declared dead because the news of its suspicion was lost.
-void prober::Recheck(const membership_table& table,
-                     time_point now,
-                     std::vector<order>& orders) {
-  std::erase_if(silent_, [&table](const std::string& name) {
+// A suspected member has a few seconds for a refutation, and first has to learn
+// of the suspicion. Under packet loss one message may not suffice: without
+// these probes a serving member would be declared dead because the update on
+// its suspicion was lost.
+void prober::ReprobeUnresponsive(const membership_table& table,
+                                 time_point now,
+                                 std::vector<probe_action>& actions) {
+  std::erase_if(unresponsive_, [&table](const std::string& name) {
     const auto* known = table.Find(name);
     return known == nullptr || known->state != member_state::kSuspect;
   });
-  for (const auto& name : silent_)
-    Probe(name, now, orders);
+  for (const auto& name : unresponsive_)
+    Probe(name, now, actions);
 }
 
 void prober::Probe(const std::string& subject,
                    time_point now,
-                   std::vector<order>& orders) {
+                   std::vector<probe_action>& actions) {
   const auto id = ++last_id_;
-  probes_[id] = {subject, now + options_.direct_timeout,
+  probes_[id] = {subject, now + options_.direct_probe_timeout,
                  now + options_.probe_interval, false};
-  orders.push_back({action::kProbe, id, subject, {}});
+  actions.push_back({action_kind::kProbe, id, subject, {}});
 }
 
-// One link can fail while the member serves all others. Several members on
-// other paths must fail to reach it too before it is even suspected.
-void prober::AskHelpers(const membership_table& table,
-                        std::uint64_t id,
-                        pending_probe& probe,
-                        std::vector<order>& orders) {
-  probe.asked = true;
-  auto helpers = table.Working();
+// A single link can fail while the member serves all others. Several members on
+// other paths must fail to reach it, too, before it is even suspected.
+void prober::RequestIndirectProbes(const membership_table& table,
+                                   std::uint64_t id,
+                                   pending_probe& probe,
+                                   std::vector<probe_action>& actions) {
+  probe.indirect_requested = true;
+  auto helpers = table.AliveMembers();
   std::erase(helpers, probe.subject);
   std::erase(helpers, table.self().name);
   std::ranges::shuffle(helpers, random_);
   helpers.resize(std::min(helpers.size(), options_.indirect_probes));
   for (auto& helper : helpers) {
-    orders.push_back(
-        {action::kAskHelper, id, probe.subject, std::move(helper)});
+    actions.push_back({action_kind::kRequestIndirectProbe, id, probe.subject,
+                       std::move(helper)});
   }
 }
 
-// Every member is probed once in each round, in a new random order: that
-// bounds the time until a dead one is noticed, which picking at random would
-// not, and leaves no order in which two failures hide each other.
+// Every member is probed once in each round, in a new random order. That bounds
+// the time until a failure is detected, which independent random choices would
+// not, and no fixed order lets two failures mask each other.
 std::optional<std::string> prober::NextSubject(const membership_table& table) {
   for (int refills = 0; refills < 2;) {
-    if (round_.empty()) {
+    if (probe_round_.empty()) {
       ++refills;
-      round_ = table.Probed();
-      std::ranges::shuffle(round_, random_);
-      if (round_.empty())
+      probe_round_ = table.ProbedMembers();
+      std::ranges::shuffle(probe_round_, random_);
+      if (probe_round_.empty())
         return std::nullopt;
     }
-    auto name = std::move(round_.back());
-    round_.pop_back();
+    auto name = std::move(probe_round_.back());
+    probe_round_.pop_back();
     const auto* known = table.Find(name);
     if (known != nullptr && known->state != member_state::kDead)
       return name;
@@ -129,23 +132,23 @@
   const auto found = relays_.find(id);
   if (found == relays_.end())
     return std::nullopt;
-  auto asked = std::move(found->second.asked);
+  auto requester = std::move(found->second.requester);
   relays_.erase(found);
-  return asked;
+  return requester;
 }
 
-std::uint64_t prober::AddRelay(relay asked, time_point now) {
+std::uint64_t prober::AddRelay(relay requester, time_point now) {
   if (relays_.size() >= kMaxRelays)
     relays_.erase(relays_.begin());
   const auto id = ++last_id_;
-  relays_[id] = {std::move(asked), now + options_.probe_interval};
+  relays_[id] = {std::move(requester), now + options_.probe_interval};
   return id;
 }
 
 void prober::Reset(time_point now) {
   probes_.clear();
   relays_.clear();
-  silent_.clear();
+  unresponsive_.clear();
   next_probe_ = now;
 }
 
--- a/src/libsamphire/membership/prober.h
+++ b/src/libsamphire/membership/prober.h
@@ -15,71 +15,83 @@
 
 namespace samphire {
 
-// Decides whom to probe when, and who did not answer. Pure: it says what to
-// send, and is told what came.
+// Decides which members are probed and when, and which of them did not answer.
+// Does no I/O: it returns the messages to send and is given the acks that
+// arrive. Not thread-safe.
 class prober {
  public:
-  enum class action { kProbe, kAskHelper, kSuspect };
-  struct order {
-    action what = action::kProbe;
+  // What the caller has to do: send a probe, ask a helper for an indirect
+  // probe, or mark the member as suspected.
+  enum class action_kind { kProbe, kRequestIndirectProbe, kSuspect };
+  struct probe_action {
+    action_kind kind = action_kind::kProbe;
     std::uint64_t id = 0;
-    // Who is probed or suspected.
+    // Name of the member that is probed or suspected.
     std::string subject;
-    // Who is asked to probe it, for kAskHelper.
+    // Name of the member that is asked to probe `subject`, for
+    // kRequestIndirectProbe.
     std::string helper;
   };
-  // A probe made for another member: where its ack goes on to.
+  // A probe made on behalf of another member: the address that its ack is
+  // forwarded to, and the id under which that member requested it.
   struct relay {
     std::string address;
     std::uint64_t id = 0;
   };
 
+  // `random` must outlive this object.
   prober(const membership_options& options,
          time_point now,
          std::mt19937_64& random);
 
-  std::vector<order> Tick(const membership_table& table, time_point now);
-  // The ack of `id` came. Returns where it is to be passed on to, if anywhere.
+  // Returns what is due at `now`.
+  std::vector<probe_action> Tick(const membership_table& table, time_point now);
+  // Processes the ack of probe `id`. Returns the requester to forward it to, if
+  // the probe was made on behalf of another member.
   std::optional<relay> OnAck(std::uint64_t id);
-  // Notes a probe on behalf of another member and returns its id.
-  std::uint64_t AddRelay(relay asked, time_point now);
-  // Forgets all probes under way: their time is over for a reason of our own.
+  // Records a probe on behalf of another member and returns its id.
+  std::uint64_t AddRelay(relay requester, time_point now);
+  // Drops all pending probes: they went unanswered because this process was
+  // paused, not because of their subjects.
   void Reset(time_point now);
 
  private:
   struct pending_probe {
     std::string subject;
-    time_point ask_at;
-    time_point give_up_at;
-    bool asked = false;
+    // When helpers are asked, and when the subject becomes suspected.
+    time_point indirect_at;
+    time_point expires_at;
+    bool indirect_requested = false;
   };
   struct pending_relay {
-    relay asked;
-    time_point give_up_at;
+    relay requester;
+    time_point expires_at;
   };
 
   void StartProbe(const membership_table& table,
                   time_point now,
-                  std::vector<order>& orders);
-  void AskHelpers(const membership_table& table,
-                  std::uint64_t id,
-                  pending_probe& probe,
-                  std::vector<order>& orders);
-  void Recheck(const membership_table& table,
-               time_point now,
-               std::vector<order>& orders);
+                  std::vector<probe_action>& actions);
+  void RequestIndirectProbes(const membership_table& table,
+                             std::uint64_t id,
+                             pending_probe& probe,
+                             std::vector<probe_action>& actions);
+  void ReprobeUnresponsive(const membership_table& table,
+                           time_point now,
+                           std::vector<probe_action>& actions);
   void Probe(const std::string& subject,
              time_point now,
-             std::vector<order>& orders);
+             std::vector<probe_action>& actions);
   std::optional<std::string> NextSubject(const membership_table& table);
 
   const membership_options options_;
   std::mt19937_64& random_;
   time_point next_probe_;
   std::uint64_t last_id_ = 0;
-  std::vector<std::string> round_;
-  // Those whose silence this entry noticed itself.
-  std::set<std::string> silent_;
+  // Members still to be probed in this round.
+  std::vector<std::string> probe_round_;
+  // Members that did not answer the probes of this entry, as opposed to those
+  // that other members suspect.
+  std::set<std::string> unresponsive_;
   std::map<std::uint64_t, pending_probe> probes_;
   std::map<std::uint64_t, pending_relay> relays_;
 };
--- a/src/libsamphire/membership/region_contact.h
+++ b/src/libsamphire/membership/region_contact.h
@@ -8,7 +8,8 @@
 
 namespace samphire {
 
-// An entry by which another region can be reached.
+// An entry by which another region can be reached. Addresses are host
+// and port.
 struct region_contact {
   std::string name;
   std::string caller_address;
@@ -16,8 +17,9 @@
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(Bounded<kMaxMemberName>(name), Bounded<kMaxAddress>(caller_address),
-            Bounded<kMaxAddress>(peer_address));
+    archive(Bounded<kMaxMemberNameBytes>(name),
+            Bounded<kMaxAddressBytes>(caller_address),
+            Bounded<kMaxAddressBytes>(peer_address));
   }
 };
 
--- a/src/libsamphire/membership/region_speaker.cc
+++ b/src/libsamphire/membership/region_digest_sender.cc
@@ -1,4 +1,4 @@
-#include "membership/region_speaker.h"
+#include "membership/region_digest_sender.h"
 
 #include <fmt/format.h>
 
@@ -12,14 +12,16 @@
 
 namespace {
 
-// Contacts besides the delegates change this often, so that requests passed
-// on don't all land on the same few entries for good; each change has to be
-// told to every member everywhere, which bounds it from below.
-constexpr std::int64_t kContactPeriodMs = 120'000;
-// Digests of other regions that go along with the own one in a datagram.
-constexpr std::size_t kPassedOn = 3;
-// Older ones are known wherever they can be of use.
-constexpr milliseconds kPassOnAge{20'000};
+// Time after which the contacts besides the delegates are replaced, so that
+// forwarded requests do not go to the same few entries for good. Each change
+// has to be sent to every member of every region, which sets a lower bound on
+// it.
+constexpr std::int64_t kContactRotationMs = 120'000;
+// Bounds the digests of other regions that accompany the own one in a datagram.
+constexpr std::size_t kMaxForwardedDigests = 3;
+// Digests older than this are not forwarded: they are known by now wherever
+// they are of use.
+constexpr milliseconds kMaxForwardedAge{20'000};
 
 region_contact ContactOf(const member& known) {
   return {known.name, known.caller_address, known.peer_address};
@@ -33,30 +35,30 @@
 
 }  // namespace
 
-region_speaker::region_speaker(const membership_options& options,
-                               time_point now,
-                               std::mt19937_64& random)
+region_digest_sender::region_digest_sender(const membership_options& options,
+                                           time_point now,
+                                           std::mt19937_64& random)
     : options_(options), random_(random) {
   next_ = now + milliseconds(Pick(options_.region_interval.count()));
 }
 
-std::vector<std::string> region_speaker::Delegates(
+std::vector<std::string> region_digest_sender::Delegates(
     const membership_table& table) const {
-  return PickByRendezvous("delegate", table.Working(), options_.delegates);
+  return PickByRendezvous("delegate", table.AliveMembers(), options_.delegates);
 }
 
-bool region_speaker::IsDelegate(const membership_table& table) const {
+bool region_digest_sender::IsDelegate(const membership_table& table) const {
   const auto delegates = Delegates(table);
   return std::ranges::find(delegates, table.self().name) != delegates.end();
 }
 
-region_digest region_speaker::Describe(const membership_table& table,
-                                       std::int64_t now_ms) const {
-  const auto working = table.Working();
+region_digest region_digest_sender::BuildDigest(const membership_table& table,
+                                                std::int64_t now_ms) const {
+  const auto alive_members = table.AliveMembers();
   auto names = Delegates(table);
   for (auto& name :
-       PickByRendezvous(fmt::format("contact/{}", now_ms / kContactPeriodMs),
-                        working, kMaxContacts + names.size())) {
+       PickByRendezvous(fmt::format("contact/{}", now_ms / kContactRotationMs),
+                        alive_members, kMaxContacts + names.size())) {
     if (names.size() < kMaxContacts &&
         std::ranges::find(names, name) == names.end()) {
       names.push_back(std::move(name));
@@ -65,12 +67,12 @@
   region_digest digest;
   digest.region = table.self().region;
   digest.as_of = now_ms;
-  digest.entries = Saturated<std::uint16_t>(working.size());
+  digest.entries = Saturated<std::uint16_t>(alive_members.size());
   for (const auto& name : names)
     digest.contacts.push_back(ContactOf(*table.Find(name)));
   std::uint64_t free_slots = 0;
   std::uint64_t queued = 0;
-  for (const auto& name : working) {
+  for (const auto& name : alive_members) {
     const auto& known = table.Find(name)->digest;
     digest.config_version =
         std::max(digest.config_version, known.config_version);
@@ -84,10 +86,10 @@
   return digest;
 }
 
-// Each delegate writes to one region at a time, and passes on some of what it
-// heard of others. So its bytes are the same with three regions and with
-// twenty-four; news then takes some more steps to reach every region.
-std::optional<region_speaker::letter> region_speaker::Tick(
+// Each delegate sends to one region at a time and forwards some of the digests
+// that it received. So its traffic is the same with three regions and with
+// twenty-four; an update then takes a few more hops to reach every region.
+std::optional<region_digest_sender::digest_message> region_digest_sender::Tick(
     const membership_table& table,
     const region_directory& regions,
     time_point now,
@@ -103,22 +105,24 @@
   const auto& contacts = to->second.contacts;
   if (contacts.empty())
     return std::nullopt;
-  // The first contacts are delegates. Now and then another is written to, in
-  // case they are gone and nobody there could tell.
-  const bool any = ++spoken_ % 4 == 0;
+  // The first contacts are delegates. Every fourth message goes to any of the
+  // contacts, in case the delegates have failed and nobody in that region could
+  // say so.
+  const bool any = ++sent_count_ % 4 == 0;
   const auto among =
       any ? contacts.size() : std::min(contacts.size(), options_.delegates);
-  letter message{contacts[Pick(among)].peer_address, {Describe(table, now_ms)}};
-  auto fresh = regions.FreshWithin(kPassOnAge, now_ms);
+  digest_message message{contacts[Pick(among)].peer_address,
+                         {BuildDigest(table, now_ms)}};
+  auto fresh = regions.FreshWithin(kMaxForwardedAge, now_ms);
   std::erase(fresh, to->first);
   std::ranges::shuffle(fresh, random_);
-  fresh.resize(std::min(fresh.size(), kPassedOn));
+  fresh.resize(std::min(fresh.size(), kMaxForwardedDigests));
   for (const auto& region : fresh)
     message.regions.push_back(*regions.Find(region));
   return message;
 }
 
-std::size_t region_speaker::Pick(std::size_t count) {
+std::size_t region_digest_sender::Pick(std::size_t count) {
   return std::uniform_int_distribution<std::size_t>(0, count - 1)(random_);
 }
 
--- a/src/libsamphire/membership/region_directory.cc
+++ b/src/libsamphire/membership/region_directory.cc
@@ -6,10 +6,12 @@
 
 namespace {
 
-// A digest from the future would hold out all true ones until its time comes:
+// Largest time by which a digest may be ahead of the own clock. A digest from
+// further in the future would keep out all correct ones until its time comes:
 // one wrong clock would freeze what the fleet knows of a region.
 constexpr std::int64_t kMaxAheadMs = 30'000;
-// Far more than will be declared; bounds what signed nonsense may cost.
+// Bounds the regions that are kept. It is far more than will be declared, and
+// limits the memory that signed but invalid messages can take.
 constexpr std::size_t kMaxRegions = 256;
 
 bool SameContacts(const region_digest& left, const region_digest& right) {
@@ -21,26 +23,27 @@
 
 }  // namespace
 
-region_directory::effect region_directory::Merge(const region_digest& seen,
-                                                 std::int64_t now) {
+region_directory::merge_result region_directory::Merge(
+    const region_digest& seen,
+    std::int64_t now) {
   if (seen.region == own_region_ || seen.region.empty() ||
       seen.as_of > now + kMaxAheadMs) {
-    return effect::kNone;
+    return merge_result::kNone;
   }
   const auto found = digests_.find(seen.region);
   if (found == digests_.end()) {
     if (digests_.size() >= kMaxRegions)
-      return effect::kNone;
+      return merge_result::kNone;
     digests_[seen.region] = seen;
-    return effect::kChanged;
+    return merge_result::kChanged;
   }
   auto& known = found->second;
   if (seen.as_of <= known.as_of)
-    return effect::kNone;
+    return merge_result::kNone;
   const bool same =
       SameContacts(known, seen) && known.config_version == seen.config_version;
   known = seen;
-  return same ? effect::kRefreshed : effect::kChanged;
+  return same ? merge_result::kRefreshed : merge_result::kChanged;
 }
 
 const region_digest* region_directory::Find(std::string_view region) const {
--- a/src/libsamphire/membership/region_directory.h
+++ b/src/libsamphire/membership/region_directory.h
@@ -13,31 +13,37 @@
 
 namespace samphire {
 
-// What one entry knows of the other regions. Pure.
+// The newest digest of each other region that one entry has received. Does no
+// I/O and reads no clock. Not thread-safe.
 class region_directory {
  public:
-  enum class effect {
+  // What a received digest changed.
+  enum class merge_result {
     kNone,
-    // Newer, with the same contacts and configuration.
+    // The digest is newer, with the same contacts and configuration version.
     kRefreshed,
-    // Others in this region should hear of it soon.
+    // Contacts or configuration version differ; the members of this region
+    // should be told soon.
     kChanged,
   };
 
   explicit region_directory(std::string own_region)
       : own_region_(std::move(own_region)) {}
 
-  // `now` is the time of day here, in milliseconds, as in `as_of`.
-  effect Merge(const region_digest& seen, std::int64_t now);
+  // Takes in a received digest, unless the known one is newer. `now` is the
+  // time of day of this entry in milliseconds, as in `as_of`.
+  merge_result Merge(const region_digest& seen, std::int64_t now);
 
+  // Returns the digest of a region, or null if none is known.
   const region_digest* Find(std::string_view region) const;
   const std::map<std::string, region_digest, std::less<>>& digests() const {
     return digests_;
   }
-  // Names of the regions heard of within `age`.
+  // Returns the names of the regions whose digest is at most `age` old.
   std::vector<std::string> FreshWithin(milliseconds age,
                                        std::int64_t now) const;
-  // The `count` regions longest not heard of, if for longer than `age`.
+  // Returns the names of up to `count` regions with the oldest digests, if
+  // those are older than `age`.
   std::vector<std::string> Stalest(std::size_t count,
                                    milliseconds age,
                                    std::int64_t now) const;
--- a/src/libsamphire/membership/region_view.h
+++ b/src/libsamphire/membership/region_view.h
@@ -6,7 +6,7 @@
 
 namespace samphire {
 
-// What is known of another region, and how old that is.
+// The newest digest of another region, and its age by the clock of this entry.
 struct region_view {
   region_digest digest;
   milliseconds age{0};
--- a/src/libsamphire/membership/seed_list.cc
+++ b/src/libsamphire/membership/seed_list.cc
@@ -7,8 +7,9 @@
 
 namespace {
 
-// The platform's list holds thousands of instances; some dozens suffice to
-// find the others, and the newest are the likeliest to live.
+// Bounds the addresses that are kept. The instance list of the platform holds
+// thousands of instances; some dozens suffice to find the others, and the
+// newest are the most likely to be running.
 constexpr std::size_t kMaxSeeds = 128;
 
 }  // namespace
@@ -25,7 +26,7 @@
                                          std::size_t count) {
   std::set<std::string> up{table.self().peer_address};
   std::vector<std::string> candidates = addresses_;
-  for (const auto& [name, known] : table.others()) {
+  for (const auto& [name, known] : table.other_members()) {
     if (known.state == member_state::kDead)
       candidates.push_back(known.peer_address);
     else
--- a/src/libsamphire/membership/seed_list.h
+++ b/src/libsamphire/membership/seed_list.h
@@ -9,18 +9,20 @@
 
 namespace samphire {
 
-// Addresses to join by: from the settings, the platform's list and the
-// digests of other regions.
+// Peer addresses (IP:PORT) to send joins to: from the settings, the instance
+// list of the platform, and the digests of other regions. Not thread-safe.
 class seed_list {
  public:
-  // Starts anywhere in the list, so that entries that are started together
-  // don't all knock at the same few.
+  // `start` is a random position in the list, so that entries that are started
+  // together do not all send joins to the same few addresses.
   explicit seed_list(std::size_t start) : next_(start) {}
 
+  // Adds an address if it is new; the oldest is dropped when the list is full.
   void Add(const std::string& address);
 
-  // The next addresses to knock at, at most `count`, in turn; those of members
-  // that are known to be up are passed over.
+  // Returns the next addresses to send a join to, at most `count`, in rotation.
+  // Dead members of `table` are included, members that are known to be up are
+  // skipped.
   std::vector<std::string> Next(const membership_table& table,
                                 std::size_t count);
 
--- a/src/libsamphire/membership/service_load.h
+++ b/src/libsamphire/membership/service_load.h
@@ -6,8 +6,9 @@
 
 namespace samphire {
 
-// How busy one service is at one entry. The service goes by a number, since
-// its name would cost more bytes than all the rest.
+// Load of one service at one entry: its free slots and queued requests. The
+// service is identified by a number, since its name would take more bytes than
+// all the rest.
 struct service_load {
   std::uint32_t service_id = 0;
   std::uint16_t free_slots = 0;
@@ -21,7 +22,7 @@
   }
 };
 
-// The number that stands for a service in loads.
+// Returns the number that identifies a service in loads, a hash of its name.
 std::uint32_t ServiceId(std::string_view service);
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/traffic_node.cc
+++ b/src/libsamphire/traffic/traffic_node.cc
@@ -55,7 +55,7 @@
 
 membership_options MembershipOptions() {
   membership_options options;
-  options.suspicion = kSuspicionTimeout;
+  options.suspicion_timeout = kSuspicionTimeout;
   return options;
 }
 
--- a/tests/membership/membership_fuzz_test.cc
+++ b/tests/membership/membership_fuzz_test.cc
@@ -21,11 +21,11 @@
   return *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
 }
 
-// A message as a peer could send it, with one byte changed.
+// Returns a valid probe with one byte changed.
 std::string DamagedProbe() {
   probe_message probe;
   probe.gossip.records.push_back(Self());
-  probe.gossip.rumours.push_back({"other", 1, 1, member_state::kSuspect});
+  probe.gossip.updates.push_back({"other", 1, 1, member_state::kSuspect});
   probe.gossip.regions.push_back({"x", 5, 1, 1, 1, 1, {{"n", "c", "p"}}});
   auto bytes = EncodeBinary(probe);
   const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
@@ -35,10 +35,10 @@
 
 }  // namespace
 
-// A peer of another version, or one that was broken into, signs whatever it
-// likes. Its messages may be ignored or believed, but must not stop an entry
-// or fill its memory.
-TEST_CASE("membership stands any payload of a signed message") {
+// A peer of another version, or a compromised one, can sign arbitrary payloads.
+// They may be ignored or accepted, but must neither stop an entry nor exhaust
+// its memory.
+TEST_CASE("membership survives any payload of a signed message") {
   CHECK(rc::check("payloads", [] {
     const time_point now{std::chrono::hours(1)};
     membership_core core(Self(), {}, now, wall_time(now.time_since_epoch()), 1);
@@ -51,7 +51,7 @@
     core.Receive(kind, {"peer", 1, "127.0.0.1:1", payload}, now);
     for (int i = 0; i < 50; ++i)
       core.Tick(now + milliseconds(100) * i);
-    RC_ASSERT(core.table().others().size() <= kMaxGossipItems);
+    RC_ASSERT(core.table().other_members().size() <= kMaxGossipItems);
     for (const auto& message : core.TakeOutgoing())
       RC_ASSERT(message.payload.size() <= 1072U);
   }));
--- a/tests/membership/membership_service_test.cc
+++ b/tests/membership/membership_service_test.cc
@@ -16,9 +16,9 @@
 namespace {
 
 constexpr const char* kKey = "fleet-fleet-fleet-fleet-fleet-fleet";
-constexpr const char* kOtherKey = "other-other-other-other-other-other";
+constexpr const char* kOtherFleetKey = "other-other-other-other-other-other";
 
-// One entry's membership over real datagrams on the loopback interface.
+// Membership of one entry over UDP on the loopback interface.
 struct live_entry {
   live_entry(const std::string& name, const char* key)
       : transport("127.0.0.1:0",
@@ -35,7 +35,7 @@
                 1) {
     service.on_config_version = [this](std::uint64_t version, std::uint64_t,
                                        const std::string&) {
-      heard_version = version;
+      seen_version = version;
     };
   }
   void Start(const std::string& seed) {
@@ -55,13 +55,13 @@
   static membership_options Options() {
     membership_options options;
     options.probe_interval = milliseconds(50);
-    options.knock_interval = milliseconds(50);
+    options.join_retry_interval = milliseconds(50);
     return options;
   }
 
   system_clock_source clock;
   metrics registry;
-  std::atomic<std::uint64_t> heard_version{0};
+  std::atomic<std::uint64_t> seen_version{0};
   udp_peer_transport transport;
   membership_service service;
 };
@@ -74,7 +74,8 @@
 
 }  // namespace
 
-TEST_CASE("services find each other, hear of configuration and leaving") {
+TEST_CASE(
+    "members learn of each other, of configuration and of leaving members") {
   std::vector<std::unique_ptr<live_entry>> entries;
   entries.reserve(3);
   for (int i = 0; i < 3; ++i) {
@@ -90,7 +91,7 @@
   member_digest digest;
   digest.config_version = 5;
   entries[0]->service.SetSelf(digest, 77);
-  WaitFor([&] { return entries[1]->heard_version == 5; });
+  WaitFor([&] { return entries[1]->seen_version == 5; });
   entries[2]->service.AnnounceLeaving();
   for (int i = 0; i < 2; ++i) {
     auto& service = entries[static_cast<std::size_t>(i)]->service;
@@ -103,36 +104,37 @@
 }
 
 // An entry is started with the key of another fleet. It must not appear among
-// the others, or callers would be sent to it; both sides count the drops.
-TEST_CASE("an entry with another key is not let in") {
-  live_entry ours("ours", kKey);
-  live_entry strange("strange", kOtherKey);
-  ours.Start(strange.transport.address());
-  strange.Start(ours.transport.address());
+// the members, or callers would be sent to it. Both sides count the dropped
+// messages.
+TEST_CASE("an entry with the key of another fleet does not become a member") {
+  live_entry own_entry("own", kKey);
+  live_entry foreign_entry("foreign", kOtherFleetKey);
+  own_entry.Start(foreign_entry.transport.address());
+  foreign_entry.Start(own_entry.transport.address());
   const auto dropped = [](live_entry& entry) {
     return entry.registry.counter("peer_dropped_total",
                                   "reason=\"peer-bad-digest\"") >= 3;
   };
-  WaitFor([&] { return dropped(ours) && dropped(strange); });
-  CHECK(ours.service.members().size() == 1);
-  CHECK(strange.service.members().size() == 1);
+  WaitFor([&] { return dropped(own_entry) && dropped(foreign_entry); });
+  CHECK(own_entry.service.members().size() == 1);
+  CHECK(foreign_entry.service.members().size() == 1);
 }
 
-TEST_CASE("one that goes moves only the roles that it had") {
+TEST_CASE("removing a name moves only the roles that it had") {
   std::vector<std::string> names;
   names.reserve(50);
   for (int i = 0; i < 50; ++i)
     names.push_back("e" + std::to_string(i));
   int moved = 0;
-  int held = 0;
+  int owned = 0;
   for (int shard = 0; shard < 200; ++shard) {
     const auto role = "shard/" + std::to_string(shard);
     const auto before = PickByRendezvous(role, names, 1).front();
     const std::vector<std::string> fewer(names.begin() + 1, names.end());
     const auto after = PickByRendezvous(role, fewer, 1).front();
     moved += before != after ? 1 : 0;
-    held += before == names.front() ? 1 : 0;
+    owned += before == names.front() ? 1 : 0;
   }
-  CHECK(moved == held);
-  CHECK(held < 20);
+  CHECK(moved == owned);
+  CHECK(owned < 20);
 }
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A region of ten that has settled.
+// Starts a region of ten members and waits until all know each other.
 void Settle(membership_world& world) {
   world.StartRegion("r", 10, "r-0");
   world.Run(15s);
@@ -18,17 +18,16 @@
 
 }  // namespace
 
-TEST_CASE("entries that start together by one seed all find each other") {
+TEST_CASE("entries that start together with one seed all find each other") {
   membership_world world(1);
   world.StartRegion("r", 30, "r-0");
   const auto took = world.RunUntil([&] { return world.Agreed("r", 30); }, 60s);
   CHECK(took < 20s);
 }
 
-// Entries are stopped for an update. Each says so, and callers stop being sent
-// to it within a tick or two, long before it goes.
-TEST_CASE(
-    "an announced stop is known to all at once, and no one is suspected") {
+// Entries are stopped for an update. Each announces it, and callers are no
+// longer sent to it after one or two ticks, long before it stops.
+TEST_CASE("an announced stop is known to all at once and raises no suspicion") {
   membership_world world(2);
   Settle(world);
   world.Core("r-3").AnnounceLeaving();
@@ -38,8 +37,9 @@
   CHECK(world.Seeing("r", "r-3", member_state::kLeaving) == 9);
 }
 
-// An entry's process dies. Until the others notice, requests passed to it fail
-// and its callers must try another; nobody else may be blamed meanwhile.
+// The process of an entry crashes. Until the other members detect it, requests
+// forwarded to it fail and its callers must try another entry. No other member
+// may be declared dead meanwhile.
 TEST_CASE("a crashed entry is declared dead by all within seconds") {
   membership_world world(3);
   Settle(world);
@@ -49,13 +49,13 @@
   CHECK(took < 15s);
   for (const auto& name : world.Names()) {
     CHECK(world.Events(name, member_state::kDead) == 1);
-    CHECK(world.Core(name).table().Working().size() == 9);
+    CHECK(world.Core(name).table().AliveMembers().size() == 9);
   }
 }
 
-// An instance stands still for a minute and goes on. It is dead to the others
-// by then; when it wakes it must be taken back, and must not blame the others
-// for the answers that it slept through.
+// An instance is paused for a minute and resumes. The other members have
+// declared it dead by then. It must become a member again, and must not suspect
+// the others because of the acks that it missed during the pause.
 TEST_CASE("a paused entry returns and suspects nobody") {
   membership_world world(4);
   Settle(world);
@@ -69,9 +69,10 @@
   CHECK(world.Core("r-5").table().self().refutation == 1);
 }
 
-// One link is cut in one direction only: the entry hears another but can't
-// answer it. It serves all others, so it must not be taken out.
-TEST_CASE("a one-way cut between two entries takes nobody out") {
+// One link is cut in one direction: an entry receives from another but its
+// messages to it are lost. It serves all others, so it must not be declared
+// dead.
+TEST_CASE("a one-way cut between two entries removes no member") {
   membership_world world(5);
   Settle(world);
   world.network.is_cut = [](const auto& from, const auto& to) {
@@ -83,9 +84,9 @@
     CHECK(world.Events(name, member_state::kDead) == 0);
 }
 
-// A tenth of all datagrams is lost and some arrive twice, as on a crowded
-// link. Suspicions come up and are contradicted; nobody is declared dead, so
-// no caller is sent away from an entry that serves.
+// A tenth of all datagrams is lost and some are duplicated, as on a congested
+// link. Suspicions arise and are refuted. No member is declared dead, so no
+// caller is sent away from an entry that serves.
 TEST_CASE("false suspicions are refuted under loss") {
   membership_world world(6);
   Settle(world);
@@ -103,10 +104,10 @@
   CHECK(world.Agreed("r", 10));
 }
 
-// An instance is replaced by a new process while the old one's death is not
-// yet known, or long after. Loans and reservations go by the process, so the
-// others must know which one they speak of.
-TEST_CASE("a restarted entry is taken for a new process") {
+// An instance gets a new process before the death of the old one is known, or
+// long after. Loans and reservations belong to a process, so the other members
+// must know which process they deal with.
+TEST_CASE("a restarted entry is recognized as a new process") {
   membership_world world(7);
   Settle(world);
   world.Start("r-6", "r", "r-0", 2);
@@ -126,9 +127,9 @@
   CHECK(world.Core("r-6").table().self().refutation == 0);
 }
 
-// Regions lose each other, and one region falls into two halves, for twenty
-// minutes. Each part goes on; when the cut heals, all find each other again
-// without an operator.
+// Regions are cut off from each other, and one region is split into two halves,
+// for twenty minutes. Each part goes on working. When the network partition
+// ends, all find each other again without an operator.
 TEST_CASE("regions and halves that were cut off find each other again") {
   membership_world world(8);
   for (const std::string region : {"a", "b", "c"})
@@ -181,12 +182,12 @@
       CHECK(digest.queued == 8);
       CHECK(digest.config_version == (region == "c" ? 7 : 6));
     }
-    for (const auto& [other, known] : core.table().others())
+    for (const auto& [other, known] : core.table().other_members())
       CHECK(known.digest.loads.size() == 1);
   }
 }
 
-TEST_CASE("a process that was replaced is told, and its news is ignored") {
+TEST_CASE("a process that was replaced is notified") {
   membership_world world(10);
   Settle(world);
   auto& old = world.Core("r-1");
@@ -194,23 +195,24 @@
   old.Receive(message_kind::kProbe, from_new, world.network.now());
   const auto events = old.TakeEvents();
   REQUIRE(events.size() == 1);
-  CHECK(std::holds_alternative<replaced>(events.front()));
+  CHECK(std::holds_alternative<process_replaced>(events.front()));
 }
 
-// News of a region is told a few times only. An entry that missed it, in a
-// loss or since it came later, could pass no request there for minutes.
-TEST_CASE("an entry that missed the news of a region asks for it") {
+// The digest of a region is sent a few times only. An entry that missed it,
+// because of packet loss or since it started later, could not forward requests
+// to that region for minutes.
+TEST_CASE("an entry that missed the digest of a region requests it") {
   membership_world world(11);
   Settle(world);
   region_digest far;
   far.region = "far";
   far.as_of = world.Core("r-0").WallMs(world.network.now());
   far.contacts.push_back({"x", "x", "x"});
-  const peer_message news{"y", 1, "y",
-                          EncodeBinary(records_message{{}, {far}})};
-  world.Core("r-0").Receive(message_kind::kRegionDigest, news,
+  const peer_message region_update{"y", 1, "y",
+                                   EncodeBinary(records_message{{}, {far}})};
+  world.Core("r-0").Receive(message_kind::kRegionDigest, region_update,
                             world.network.now());
-  // All that r-0 tells of it by itself is lost on the way.
+  // All messages of r-0 about the region are lost.
   bool lossy = true;
   world.network.is_cut = [&lossy](const auto& from, const auto&) {
     return lossy && from == "r-0";
--- a/tests/routing/shared_bounds_model_test.cc
+++ b/tests/routing/shared_bounds_model_test.cc
@@ -328,7 +328,7 @@
                                                 time_point now) {
     auto& core = world_.Core(one.place.instance);
     std::vector<member> members = {core.table().self()};
-    for (const auto& [name, other] : core.table().others())
+    for (const auto& [name, other] : core.table().other_members())
       members.push_back(other);
     std::vector<region_view> regions;
     for (const auto& [name, digest] : core.regions().digests())
--- a/tests/support/membership_world.cc
+++ b/tests/support/membership_world.cc
@@ -100,7 +100,7 @@
 bool membership_world::Agreed(const std::string& region, std::size_t count) {
   return std::ranges::all_of(nodes_, [&](const auto& entry) {
     return entry.second.region != region ||
-           entry.second.core->table().Working().size() == count;
+           entry.second.core->table().AliveMembers().size() == count;
   });
 }
 
