--- a/bench/distribution.cc
+++ b/bench/distribution.cc
@@ -1,8 +1,9 @@
-// What a change of configuration costs the platform and the peers, against
-// the number of client blocks and against the number of followers. Fails when
-// a change costs more bytes or calls than its bound, or when the platform's
-// calls grow with the followers.
-//   bench_distribution [--most=BLOCKS] [--changes=N]
+// Measures what a configuration change costs the platform and the peers, as a
+// function of the number of client blocks and of the number of followers. Fails
+// if a change costs more bytes or calls than its bound, or if the number of
+// platform calls grows with the followers.
+//
+// bench_distribution [--most=BLOCKS] [--changes=N]
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -33,11 +34,13 @@
 
 namespace {
 
+// Bounds of the bytes and calls to publish one change, of the bytes that a
+// watcher reads for it, and of the bytes of the update that an entry pulls.
 constexpr double kMaxBytesPerChange = 60'000;
 constexpr double kMaxCallsPerChange = 40;
 constexpr double kMaxUpdateBytes = 4'000;
-// Changes before those that are measured.
-constexpr int kWarmUp = 4;
+// Number of changes that precede the measured ones.
+constexpr int kWarmUpChanges = 4;
 
 double AllocatedBytes() {
   const auto info = mallinfo2();
@@ -56,7 +59,7 @@
 struct change_cost {
   double blocks = 0;
   traffic publish;
-  // What one watcher reads, and what every other entry pulls.
+  // What one watcher reads, and below it what every other entry pulls.
   traffic watch;
   double update_bytes = 0;
   double publish_cpu = 0;
@@ -65,15 +68,15 @@
   double image_bytes = 0;
 };
 
-// With so few versions kept, the changes measured also pay for collecting the
-// chunks of old ones, as they do in the long run.
+// With so few retained versions, the measured changes include the cost of
+// collecting the chunks of old versions, as changes do in the long run.
 publish_options Options() {
   auto options = DefaultPublishOptions();
-  options.retained = kWarmUp;
+  options.retained = kWarmUpChanges;
   return options;
 }
 
-// Runs single steps until the follower has the version.
+// Steps the follower until it has the version.
 void Follow(config_follower& follower, std::uint64_t version) {
   while (!follower.image() || follower.image()->version() < version)
     follower.Step();
@@ -98,7 +101,7 @@
   change_cost cost;
   cost.blocks = blocks;
   static_cast<void>(publisher.Apply(declared, {"first", "ana", {}}).value());
-  cost.first_calls = store.Take().calls;
+  cost.first_calls = store.TakeCounts().calls;
   auto watcher = NewFollower(store, peers, clock, registry);
   watcher->SetWatching(true);
   watcher->WatchStep();
@@ -110,25 +113,25 @@
   auto other = NewFollower(store, peers, clock, registry);
   Follow(*other, 1);
   const int changes = absl::GetFlag(FLAGS_changes);
-  for (int n = 1 - kWarmUp; n <= changes; ++n) {
+  for (int n = 1 - kWarmUpChanges; n <= changes; ++n) {
     // One block moves to another region.
-    const int step = n + kWarmUp;
+    const int step = n + kWarmUpChanges;
     const auto turn = static_cast<std::size_t>(step);
     declared.client_blocks[blocks / 9 * (turn % 9)].region =
         turn % 18 < 9 ? "galle" : "kandy";
-    store.Take();
+    store.TakeCounts();
     double cpu = CpuSeconds();
     const auto version =
         publisher.Apply(declared, {fmt::format("id-{}", n), "ana", {}})
             .value()
             .version;
-    const auto published = store.Take();
+    const auto published = store.TakeCounts();
     const double publish_cpu = CpuSeconds() - cpu;
     watcher->WatchStep();
     Follow(*watcher, version);
-    const auto watched = store.Take();
+    const auto watched = store.TakeCounts();
     cpu = CpuSeconds();
-    other->OnPeerVersion("watcher", watcher->Tell());
+    other->OnPeerVersion("watcher", watcher->AdvertisedConfig());
     Follow(*other, version);
     if (n < 1)
       continue;
@@ -189,7 +192,8 @@
   return holds;
 }
 
-// A drain, declared where there are this many targets: what the frame costs.
+// Measures a drain declared with this number of targets, that is, the cost of a
+// change of the frame.
 void MeasureDrain(int targets) {
   const system_clock_source clock;
   metrics registry;
@@ -204,17 +208,17 @@
   peers.nearest = "watcher";
   auto other = NewFollower(store, peers, clock, registry);
   Follow(*other, 1);
-  store.Take();
+  store.TakeCounts();
   const drain planned{"d", drain_scope::kRegion, "galle",
                       clock.wall_now() + std::chrono::hours(1),
                       clock.wall_now() + std::chrono::hours(2)};
   static_cast<void>(publisher.AddDrain(planned, {"id-1", "ana", {}}).value());
-  const auto published = store.Take();
+  const auto published = store.TakeCounts();
   watcher->SetWatching(true);
   watcher->WatchStep();
   Follow(*watcher, 2);
   const double cpu = CpuSeconds();
-  other->OnPeerVersion("watcher", watcher->Tell());
+  other->OnPeerVersion("watcher", watcher->AdvertisedConfig());
   Follow(*other, 2);
   fmt::print(
       "drain at {} targets: {} calls, {} bytes to publish; {} bytes pulled, "
@@ -223,7 +227,8 @@
       (CpuSeconds() - cpu) * 1000);
 }
 
-// Platform calls of all followers of one region for one change.
+// Returns the platform calls that all followers of one region make for one
+// change.
 double CallsOfFollowers(std::size_t count) {
   const system_clock_source clock;
   metrics registry;
@@ -251,7 +256,7 @@
   }
   declared.client_blocks[5].region = "galle";
   static_cast<void>(publisher.Apply(declared, {"id-1", "ana", {}}).value());
-  store.Take();
+  store.TakeCounts();
   for (const auto& [follower, watches] : roles) {
     if (!watches)
       continue;
@@ -261,10 +266,11 @@
   for (const auto& [follower, watches] : roles) {
     if (watches)
       continue;
-    follower->OnPeerVersion("watcher", peers.entries["watcher"]->Tell());
+    follower->OnPeerVersion("watcher",
+                            peers.entries["watcher"]->AdvertisedConfig());
     Follow(*follower, 2);
   }
-  return store.Take().calls;
+  return store.TakeCounts().calls;
 }
 
 bool MeasureFollowers() {
--- a/bench/distribution/bench_declaration.h
+++ b/bench/distribution/bench_declaration.h
@@ -9,7 +9,7 @@
 
 namespace samphire {
 
-// A declaration with this many client blocks and targets.
+// Returns a declaration with this number of client blocks and targets.
 inline declaration Declared(std::uint32_t blocks, int targets) {
   declaration made;
   made.name = made.default_region = "kandy";
--- a/bench/distribution/counting_store.h
+++ b/bench/distribution/counting_store.h
@@ -10,13 +10,14 @@
 
 namespace samphire {
 
-// What went to and from the platform.
+// Calls to the platform, and bytes of values read and written.
 struct traffic {
   double calls = 0;
   double bytes = 0;
 };
 
-// Counts what goes to and from the stand-in's objects.
+// Forwards to the in-memory objects of the stand-in platform and counts the
+// traffic.
 class counting_store final : public object_store {
  public:
   result<store_object> Get(const std::string& key) override {
@@ -49,7 +50,8 @@
     return objects_.Instances();
   }
 
-  traffic Take() { return std::exchange(counted_, {}); }
+  // Returns the counts since the last call and resets them.
+  traffic TakeCounts() { return std::exchange(counted_, {}); }
 
  private:
   void Add(std::size_t bytes) {
--- a/bench/distribution/local_peers.h
+++ b/bench/distribution/local_peers.h
@@ -11,23 +11,24 @@
 
 namespace samphire {
 
-// Peers within this process; one message each.
+// Peers within this process, called directly instead of over the network.
 class local_peers final : public config_peer_source {
  public:
   std::map<std::string, config_follower*> entries;
   std::string nearest;
+  // Encoded size of the last update that was pulled.
   double update_bytes = 0;
 
   std::vector<std::string> Peers() override {
     return nearest.empty() ? std::vector<std::string>()
                            : std::vector<std::string>{nearest};
   }
-  result<peer_config> Ask(const std::string& peer) override {
-    return entries.at(peer)->Tell();
+  result<peer_config> QueryConfig(const std::string& peer) override {
+    return entries.at(peer)->AdvertisedConfig();
   }
   result<config_update> Pull(const std::string& peer,
                              std::uint64_t have) override {
-    auto update = entries.at(peer)->shelf().Pull(have);
+    auto update = entries.at(peer)->cached_images().Pull(have);
     if (update) {
       std::ostringstream wire;
       cereal::BinaryOutputArchive archive(wire);
@@ -39,7 +40,7 @@
   result<std::vector<std::string>> Chunks(
       const std::string& peer,
       const std::vector<std::string>& refs) override {
-    return entries.at(peer)->shelf().Chunks(refs);
+    return entries.at(peer)->cached_images().Chunks(refs);
   }
   result<std::optional<instance_list>> Instances(
       const std::string& /*peer*/,
--- a/src/entry/operator_service.cc
+++ b/src/entry/operator_service.cc
@@ -73,7 +73,7 @@
   BOOST_OUTCOME_TRY(declared, Read(request.text));
   // What this entry holds anyway need not be loaded to find what changes.
   if (auto image = node_.configuration().image())
-    publisher_.OfferImage(std::move(image));
+    publisher_.CacheImage(std::move(image));
   return AnswerOf(
       publisher_.Apply(
           declared, {request.apply_id, request.operator_name, request.expect}),
@@ -119,7 +119,7 @@
   BOOST_OUTCOME_TRY(proposals, publisher_.Proposals());
   for (const auto& each : proposals)
     history.push_back(EntryOf(each));
-  const auto present = publisher_.Present();
+  const auto present = publisher_.Current();
   if (!present) {
     if (present.error().code == result_code::kNoConfiguration)
       return history;
@@ -141,7 +141,7 @@
   status_answer answer;
   answer.instance = node_.settings().instance;
   answer.region = node_.settings().region;
-  answer.config_version = node_.configuration().Tell().version;
+  answer.config_version = node_.configuration().AdvertisedConfig().version;
   answer.config_age = std::chrono::duration_cast<milliseconds>(
       node_.configuration().confirmed_age());
   for (const auto& each : node_.membership().members())
--- a/src/libsamphire/distribution/change_builder.cc
+++ b/src/libsamphire/distribution/change_builder.cc
@@ -27,16 +27,16 @@
 
 void AddTree(built_change& built,
              std::vector<keyed_line> lines,
-             const tree_ref& present,
+             const tree_ref& current,
              const image_ptr& base,
              std::uint64_t salt,
              tree_ref& tree) {
-  const auto bits = ChooseBits(lines.size(), present.bits);
+  const auto bits = ChooseBits(lines.size(), current.bits);
   auto made = BuildLineTree(std::move(lines), bits, ChunksOf(base), salt);
   tree = made.tree;
   for (auto& chunk : made.chunks) {
     if (!ChunksOf(base).contains(DigestOf(chunk->ref)))
-      built.fresh.push_back(std::move(chunk));
+      built.new_chunks.push_back(std::move(chunk));
   }
 }
 
@@ -57,15 +57,15 @@
   });
 }
 
-// The refs that `base` names and the new trees don't.
+// Returns the refs that `base` names and the new trees don't.
 std::vector<std::string> DroppedRefs(const built_change& built,
                                      const image_ptr& base) {
   if (!base)
     return {};
   auto chunks = base->chunks();
-  for (const auto& chunk : built.fresh)
+  for (const auto& chunk : built.new_chunks)
     chunks[DigestOf(chunk->ref)] = chunk;
-  for (const auto& chunk : built.proposed)
+  for (const auto& chunk : built.proposed_chunks)
     chunks[DigestOf(chunk->ref)] = chunk;
   std::unordered_set<std::string> kept;
   CollectTreeRefs(chunks, built.root.frame, kept);
@@ -81,14 +81,15 @@
 std::string AddChunk(built_change& built,
                      const std::vector<std::string>& lines,
                      std::uint64_t salt) {
-  built.fresh.push_back(MakeChunk(SortedText(lines), salt));
-  return built.fresh.back()->ref;
+  built.new_chunks.push_back(MakeChunk(SortedText(lines), salt));
+  return built.new_chunks.back()->ref;
 }
 
 }  // namespace
 
-std::string ContentOf(const changed_lines& lines, const image_ptr& base) {
-  // A sum of digests doesn't depend on the order of the lines.
+std::string ContentDigestOf(const declared_lines& lines,
+                            const image_ptr& base) {
+  // The sum of the line digests doesn't depend on the order of the lines.
   std::uint64_t sum = 0;
   const auto add = [&](std::string_view line) {
     sum += std::stoull(ContentDigest(line).substr(0, 16), nullptr, 16);
@@ -104,18 +105,18 @@
   return ContentDigest(std::to_string(sum));
 }
 
-built_change BuildTrees(changed_lines lines,
+built_change BuildTrees(declared_lines lines,
                         const image_ptr& base,
                         std::uint64_t salt) {
   built_change built;
-  const auto present = base ? base->root() : config_root();
-  AddTree(built, std::move(lines.frame), present.frame, base, salt,
+  const auto current = base ? base->root() : config_root();
+  AddTree(built, std::move(lines.frame), current.frame, base, salt,
           built.root.frame);
   if (lines.blocks) {
-    AddTree(built, std::move(*lines.blocks), present.blocks, base, salt,
+    AddTree(built, std::move(*lines.blocks), current.blocks, base, salt,
             built.root.blocks);
   } else {
-    built.root.blocks = present.blocks;
+    built.root.blocks = current.blocks;
   }
   return built;
 }
--- a/src/libsamphire/distribution/change_builder.h
+++ b/src/libsamphire/distribution/change_builder.h
@@ -10,32 +10,40 @@
 
 namespace samphire {
 
-// What is to be declared, as lines. No blocks: they stay as they are.
-struct changed_lines {
+// The declaration to apply, as the lines of its two trees: the frame
+// (everything but the client blocks) and the client blocks. Without `blocks`,
+// the client blocks of the base version are kept.
+struct declared_lines {
   std::vector<keyed_line> frame;
   std::optional<std::vector<keyed_line>> blocks;
 };
 
-// A change ready to be written: first its chunks, then its root.
+// A change ready to be written to the platform: its chunks first, then the root
+// that refers to them.
 struct built_change {
   config_root root;
-  // Chunks that the platform doesn't hold yet.
-  std::vector<chunk_ptr> fresh;
-  // Chunks that were written for its proposal.
-  std::vector<chunk_ptr> proposed;
+  // Chunks that are not in the platform's object store yet.
+  std::vector<chunk_ptr> new_chunks;
+  // Chunks that were already written when the change was proposed.
+  std::vector<chunk_ptr> proposed_chunks;
 };
 
-// The digest of everything that `lines` declare; `base` supplies the blocks
-// that stay.
-std::string ContentOf(const changed_lines& lines, const image_ptr& base);
+// Returns a digest of everything that `lines` declare, which doesn't depend on
+// the order of the lines. `base` (may be null) supplies the client blocks if
+// `lines` has none.
+std::string ContentDigestOf(const declared_lines& lines, const image_ptr& base);
 
-// Builds the trees of `lines`, sharing what it can with `base`.
-built_change BuildTrees(changed_lines lines,
+// Builds the trees of `lines`. Chunks whose text is also in `base` (may be
+// null) are reused; the refs of new ones carry `salt`, which must be unique to
+// this attempt.
+built_change BuildTrees(declared_lines lines,
                         const image_ptr& base,
                         std::uint64_t salt);
 
-// Completes a change whose trees are built: version, history and the list of
-// refs that it drops. `history` is what the new history keeps of the old one.
+// Completes a change whose trees are built: sets its version, writes its
+// history chunk, and lists the refs that `base` names and the new trees don't,
+// for later garbage collection. `history` holds the earlier changes that the
+// new history retains.
 void CompleteChange(built_change& built,
                     const config_change& change,
                     const std::vector<config_change>& history,
--- a/src/libsamphire/distribution/chunk_store.cc
+++ b/src/libsamphire/distribution/chunk_store.cc
@@ -22,8 +22,8 @@
 }
 
 // A chunk's key belongs to one attempt and its content never differs, so a
-// write of unknown outcome is simply repeated: a conflict then says that it
-// had taken effect.
+// write of unknown outcome is simply repeated: a conflict then means that the
+// earlier write had taken effect.
 result<void> chunk_store::Write(const config_chunk& chunk) {
   for (int n = 0;; ++n) {
     const auto put = store_.Put(ChunkKey(chunk.ref), chunk.text, 0);
--- a/src/libsamphire/distribution/chunk_store.h
+++ b/src/libsamphire/distribution/chunk_store.h
@@ -11,17 +11,23 @@
 
 namespace samphire {
 
-// Chunks in the platform.
+// Reads, writes and deletes chunks in the platform's object store. Stateless,
+// so it may be called from any thread; calls block for the time of the store's
+// calls.
 class chunk_store {
  public:
   chunk_store(object_store& store,
               const publish_options& options,
               metrics& metrics);
 
+  // Returns the texts of the chunks in the order of `refs`, or the first error
+  // of the store.
   result<std::vector<std::string>> Fetch(const std::vector<std::string>& refs);
-  // Writes a chunk that is not there yet, or finds that it is.
+  // Writes a chunk, or confirms that it is already stored. After transient
+  // errors it is attempted up to publish_options::attempts times.
   result<void> Write(const config_chunk& chunk);
-  // Deletes chunks that nothing names; what is gone already counts as done.
+  // Deletes chunks that nothing refers to; chunks that are already gone count
+  // as deleted. Stops at the first other error.
   result<void> Remove(const std::vector<std::string>& refs);
 
  private:
@@ -32,7 +38,7 @@
   metrics& metrics_;
 };
 
-// The refs in the text of a chunk that lists dropped ones, one a line.
+// Returns the refs in the text of a chunk that lists dropped refs, one a line.
 std::vector<std::string> ReadRefs(const std::string& text);
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/chunk_walk.h
+++ b/src/libsamphire/distribution/chunk_walk.h
@@ -7,7 +7,8 @@
 
 namespace samphire {
 
-// Visits every line of the leaves of `tree`; its chunks must be in `chunks`.
+// Calls `visit` for every line of the leaves of `tree`. The chunks of the tree
+// must be in `chunks`; subtrees whose chunks are missing are skipped.
 void ForEachTreeLine(const chunk_map& chunks,
                      const tree_ref& tree,
                      const line_visitor& visit);
--- a/src/libsamphire/distribution/config_change.cc
+++ b/src/libsamphire/distribution/config_change.cc
@@ -31,7 +31,8 @@
           text("dropped")};
 }
 
-// The version comes first and in full width, so that lines sort by it.
+// The version comes first and zero-padded to full width, so that the lines sort
+// by version.
 std::string WriteHistoryLine(const config_change& change) {
   return fmt::format("{:020}\t{{{}}}", change.version,
                      WriteChangeMembers(change));
@@ -47,7 +48,7 @@
       return ReadChange(*json);
   } catch (const Poco::Exception&) {
   }
-  return MakeError(result_code::kStoreCorrupt, "history line");
+  return MakeError(result_code::kStoreCorrupt, "malformed history line");
 }
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/config_change.h
+++ b/src/libsamphire/distribution/config_change.h
@@ -10,27 +10,32 @@
 
 namespace samphire {
 
-// One accepted change, as the history keeps it.
+// One accepted configuration change, as recorded in the root and in the
+// history.
 struct config_change {
   std::uint64_t version = 0;
+  // The idempotency key of the request, see apply_request.
   std::string apply_id;
   std::string operator_name;
-  // Who witnessed it; empty if nobody had to.
+  // The operator who witnessed the change; empty if no witness was required.
   std::string witness;
-  // Time of day in text.
+  // Wall-clock time of acceptance, as text.
   std::string at;
-  // The digest of what was declared, to tell a repeat from a misused id.
+  // Digest of the declaration, which distinguishes a retry from an apply id
+  // that was reused for another change.
   std::string content;
-  // The chunk that lists the refs which the version before named and this one
-  // doesn't; empty if there are none.
+  // Ref of the chunk that lists the refs which the previous version named and
+  // this one doesn't; empty if there are none.
   std::string dropped;
 };
 
-// The members of the change's JSON, without the braces.
+// Returns the members of the change's JSON object, without the braces.
 std::string WriteChangeMembers(const config_change& change);
+// Reads the members back; throws a Poco exception if one is missing.
 config_change ReadChange(const Poco::JSON::Object& json);
 
-// A line of the history chunk.
+// Converts a change to and from a line of the history chunk. Reading returns
+// kStoreCorrupt if the line is malformed.
 std::string WriteHistoryLine(const config_change& change);
 result<config_change> ReadHistoryLine(std::string_view line);
 
--- a/src/libsamphire/distribution/config_chunk.cc
+++ b/src/libsamphire/distribution/config_chunk.cc
@@ -10,10 +10,10 @@
   return fmt::format("{:016x}{:016x}", hash.high64, hash.low64);
 }
 
-// The salt makes each attempt's chunks its own. Were the digest the whole key,
-// one operator's clean-up could delete a chunk in the moment in which another
-// operator's change begins to name it again, and no entry could load that
-// change: refs die once and are never named again.
+// The salt gives each attempt its own chunks. If the digest were the whole key,
+// one operator's garbage collection could delete a chunk at the moment when
+// another operator's change begins to refer to it again, and no entry could
+// load that change. With the salt, a ref that was dropped is never named again.
 std::string MakeRef(const std::string& digest, std::uint64_t salt) {
   return fmt::format("{}.{:016x}", digest, salt);
 }
--- a/src/libsamphire/distribution/config_chunk.h
+++ b/src/libsamphire/distribution/config_chunk.h
@@ -9,10 +9,12 @@
 
 namespace samphire {
 
-// A piece of the configuration: lines in order, each ended by '\n'. Never
-// changed, so successive images share it.
+// A piece of the stored configuration: sorted lines, each ended by '\n'.
+// Immutable and reference-counted, so successive images share it across
+// threads.
 struct config_chunk : boost::intrusive_ref_counter<config_chunk> {
-  // DIGEST.SALT: the digest of the text, and the attempt that wrote it.
+  // DIGEST.SALT: the digest of the text, and a number unique to the attempt
+  // that wrote the chunk.
   std::string ref;
   std::string text;
 
@@ -21,18 +23,20 @@
 };
 
 using chunk_ptr = boost::intrusive_ptr<const config_chunk>;
-// By digest: one image names a digest by one ref only.
+// Chunks by digest; one image refers to a digest by one ref only.
 using chunk_map = std::unordered_map<std::string, chunk_ptr>;
 
-// 128 bits in hexadecimal: against accidental damage, not against forgery,
-// which the platform's and the peers' own authentication prevents.
+// Returns a 128-bit digest in hexadecimal. It detects accidental damage, not
+// forgery, which the authentication of the platform and of the peers prevents.
 std::string ContentDigest(std::string_view text);
 
+// Composes a ref, extracts the digest of a ref, and returns the object key
+// ("config/chunk/REF") of a ref.
 std::string MakeRef(const std::string& digest, std::uint64_t salt);
 std::string DigestOf(std::string_view ref);
 std::string ChunkKey(std::string_view ref);
 
-// `text` as a chunk of its own.
+// Returns a new chunk with `text` and a ref with its digest and `salt`.
 chunk_ptr MakeChunk(std::string text, std::uint64_t salt);
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/config_follower.cc
+++ b/src/libsamphire/distribution/config_follower.cc
@@ -11,9 +11,10 @@
 
 namespace {
 
-// Of the peers that can be asked in an outage. More would delay the start and
-// add nothing: each of them has heard the highest version by gossip.
-constexpr std::size_t kMaxAsked = 16;
+// Bounds how many peers are queried for their version during an outage of the
+// platform. Querying more would delay the start and add nothing, because each
+// of them has learned the highest version by gossip.
+constexpr std::size_t kMaxQueriedPeers = 16;
 
 }  // namespace
 
@@ -28,8 +29,8 @@
     self.Pull(action.peer);
     return duration::zero();
   }
-  duration operator()(const ask_peers& /*action*/) const {
-    self.AskPeers();
+  duration operator()(const query_peers& /*action*/) const {
+    self.QueryPeers();
     return duration::zero();
   }
   duration operator()(const wait_until& action) const {
@@ -53,13 +54,13 @@
                                  const clock_source& clock,
                                  metrics& metrics,
                                  const follower_limits& limits,
-                                 on_image slot)
+                                 image_callback callback)
     : store_(store),
       peers_(peers),
       clock_(clock),
       metrics_(metrics),
       limits_(limits),
-      slot_(std::move(slot)),
+      callback_(std::move(callback)),
       state_(limits, clock.now()) {}
 
 config_follower::~config_follower() {
@@ -67,13 +68,13 @@
 }
 
 void config_follower::Start() {
-  puller_.Start([this] { return Step(); });
-  watcher_.Start([this] { return WatchStep(); });
+  load_thread_.Start([this] { return Step(); });
+  watch_thread_.Start([this] { return WatchStep(); });
 }
 
 void config_follower::Stop() {
-  puller_.Stop();
-  watcher_.Stop();
+  load_thread_.Stop();
+  watch_thread_.Stop();
 }
 
 void config_follower::SetWatching(bool watching) {
@@ -83,20 +84,21 @@
     return before != watching;
   });
   if (changed)
-    watcher_.Wake();
+    watch_thread_.Wake();
 }
 
 void config_follower::OnPeerVersion(const std::string& peer,
                                     const peer_config& config) {
-  const auto verdict = WithState(
-      [&](auto& state) { return state.OnPeer(peer, config, clock_.now()); });
+  const auto verdict = WithState([&](auto& state) {
+    return state.OnPeerConfig(peer, config, clock_.now());
+  });
   if (verdict == root_verdict::kDiffers)
     CountVerdict(verdict, "peer");
   if (verdict == root_verdict::kNewer)
-    puller_.Wake();
+    load_thread_.Wake();
 }
 
-peer_config config_follower::Tell() const {
+peer_config config_follower::AdvertisedConfig() const {
   const auto state = Snapshot();
   const auto age =
       std::chrono::ceil<milliseconds>(clock_.now() - state.confirmed_at());
@@ -130,7 +132,7 @@
   const auto& text = root.value().value;
   const auto read = ReadRoot(text);
   if (!read) {
-    Adopt(read.error(), now, "platform");
+    HandleLoadResult(read.error(), now, "platform");
     return;
   }
   const auto verdict = WithState([&](auto& state) {
@@ -139,55 +141,63 @@
   CountVerdict(verdict, "platform");
   if (verdict != root_verdict::kNewer)
     return;
-  // A whole first load is left to a peer, which spares the platform the reads.
-  const auto base = shelf_.present();
+  // A complete first load is served by a peer where possible, which spares the
+  // platform the reads.
+  const auto base = image_cache_.current();
   const auto peers = base ? std::vector<std::string>() : peers_.Peers();
-  Adopt(LoadImage(text, base, {}, FetchFrom(peers.empty() ? "" : peers[0])),
-        now, "platform");
+  HandleLoadResult(
+      LoadImage(text, base, {}, MakeChunkFetch(peers.empty() ? "" : peers[0])),
+      now, "platform");
 }
 
 void config_follower::Pull(const std::string& peer) {
-  const auto base = shelf_.present();
+  const auto base = image_cache_.current();
   const auto update = peers_.Pull(peer, base ? base->version() : 0);
   if (!update) {
-    Adopt(update.error(), {}, "peer");
+    HandleLoadResult(update.error(), {}, "peer");
     return;
   }
-  // Confirmed only as far as the peer's own confirmation says, which gossip
-  // tells; until then the age of the image before stands.
-  Adopt(LoadImage(update.value().root_text, base,
-                  ApplyUpdate(base, update.value()), FetchFrom(peer)),
-        {}, "peer");
+  // A load from a peer confirms nothing by itself: the peer's own confirmation
+  // age arrives by gossip, and until then the confirmation time of the previous
+  // image stands.
+  HandleLoadResult(
+      LoadImage(update.value().root_text, base,
+                ApplyUpdate(base, update.value()), MakeChunkFetch(peer)),
+      {}, "peer");
 }
 
-void config_follower::AskPeers() {
+void config_follower::QueryPeers() {
   auto peers = peers_.Peers();
-  peers.resize(std::min(peers.size(), kMaxAsked));
+  peers.resize(std::min(peers.size(), kMaxQueriedPeers));
   std::string best;
   peer_config highest;
   for (const auto& peer : peers) {
-    const auto told = peers_.Ask(peer);
-    if (told && told.value().version > highest.version) {
+    const auto response = peers_.QueryConfig(peer);
+    if (response && response.value().version > highest.version) {
       best = peer;
-      highest = told.value();
+      highest = response.value();
     }
   }
   if (highest.version == 0) {
-    Adopt(MakeError(result_code::kNoConfiguration, "no peer has one"), {},
-          "peer");
+    HandleLoadResult(
+        MakeError(
+            result_code::kNoConfiguration,
+            "the platform failed and no reachable peer has a configuration"),
+        {}, "peer");
     return;
   }
   Log(log_level::kWarning, "config-from-peers",
       {{"version", highest.version}, {"peer", best}});
   Pull(best);
-  WithState([&](auto& state) { state.OnPeer(best, highest, clock_.now()); });
+  WithState(
+      [&](auto& state) { state.OnPeerConfig(best, highest, clock_.now()); });
 }
 
-void config_follower::Adopt(const result<image_ptr>& loaded,
-                            time_point confirmed_at,
-                            std::string_view source) {
+void config_follower::HandleLoadResult(const result<image_ptr>& loaded,
+                                       time_point confirmed_at,
+                                       std::string_view source) {
   if (!loaded) {
-    // What is in force stays in force; only its age grows.
+    // The image in force stays in force; only its confirmation age grows.
     WithState([&](auto& state) { state.OnLoadFailed(clock_.now()); });
     metrics_.Count("config_load_failures_total",
                    fmt::format("source=\"{}\",reason=\"{}\"", source,
@@ -199,20 +209,21 @@
     return;
   }
   const auto& image = loaded.value();
-  const auto present = shelf_.present();
-  if (present && present->version() >= image->version()) {
-    // The peer told of more than it has. Asked again at once it would answer
-    // the same, in an endless loop.
+  const auto current = image_cache_.current();
+  if (current && current->version() >= image->version()) {
+    // The peer announced a newer version than it can supply. Recording a failed
+    // load delays the retry; an immediate one would get the same response, in
+    // an endless loop.
     WithState([&](auto& state) { state.OnLoadFailed(clock_.now()); });
     return;
   }
-  shelf_.Add(image);
+  image_cache_.Add(image);
   WithState([&](auto& state) {
     state.OnImage(image->version(), image->digest(), confirmed_at);
   });
   metrics_.Count("config_loads_total", fmt::format("source=\"{}\"", source));
   metrics_.Set("config_version", {}, static_cast<double>(image->version()));
-  slot_(image);
+  callback_(image);
 }
 
 void config_follower::CountVerdict(root_verdict verdict,
@@ -226,9 +237,10 @@
       {{"source", source}, {"verdict", name}});
 }
 
-chunk_fetch config_follower::FetchFrom(const std::string& peer) {
-  // A first load is some hundred asks: a peer that fails once is not waited for
-  // again, or its timeouts would add up to minutes.
+chunk_fetch config_follower::MakeChunkFetch(const std::string& peer) {
+  // A first load takes some hundred requests. After its first failure a peer
+  // isn't tried again during this load, or its timeouts would add up to
+  // minutes.
   return [this, from = std::string(peer)](
              const std::vector<std::string>& refs) mutable
          -> result<std::vector<std::string>> {
@@ -246,10 +258,10 @@
   if (peer.empty())
     return MakeError(result_code::kPeerUnreachable);
   BOOST_OUTCOME_TRY(texts, peers_.Chunks(peer, refs));
-  bool sound = texts.size() == refs.size();
-  for (std::size_t i = 0; sound && i < refs.size(); ++i)
-    sound = ContentDigest(texts[i]) == DigestOf(refs[i]);
-  if (!sound) {
+  bool valid = texts.size() == refs.size();
+  for (std::size_t i = 0; valid && i < refs.size(); ++i)
+    valid = ContentDigest(texts[i]) == DigestOf(refs[i]);
+  if (!valid) {
     metrics_.Count("config_load_failures_total",
                    "source=\"peer\",reason=\"store-corrupt\"");
     return MakeError(result_code::kStoreCorrupt, peer);
@@ -271,36 +283,38 @@
   return texts;
 }
 
-// Anything but a quiet watch has the root read anew, and a watch that begins
-// takes its cursor first: whatever is written after it will be told.
+// Any result other than an unchanged watch causes the root to be read again. A
+// new watch obtains its cursor before that read, so whatever is written
+// afterwards is reported by the watch.
 duration config_follower::WatchStep() {
   if (!Snapshot().watching()) {
     cursor_ = 0;
-    return limits_.longest_retry;
+    return limits_.max_retry_delay;
   }
-  const auto batch = store_.Watch(kConfigRootKey, cursor_, limits_.watch_wait);
+  const auto batch =
+      store_.Watch(kConfigRootKey, cursor_, limits_.watch_timeout);
   if (!batch) {
     cursor_ = 0;
     WithState([&](auto& state) { state.OnPlatformError(clock_.now()); });
     metrics_.Count("config_watch_failures_total",
                    fmt::format("reason=\"{}\"", NameOf(batch.error().code)));
-    return limits_.first_retry * 2;
+    return limits_.initial_retry_delay * 2;
   }
   OnWatchBatch(batch.value());
   return duration::zero();
 }
 
 void config_follower::OnWatchBatch(const watch_batch& batch) {
-  const bool quiet = cursor_ != 0 && !batch.reset && batch.events.empty();
+  const bool unchanged = cursor_ != 0 && !batch.reset && batch.events.empty();
   if (batch.reset)
     metrics_.Count("config_watch_resets_total");
   cursor_ = batch.cursor;
   const auto now = clock_.now();
   WithState([&](auto& state) {
-    quiet ? state.OnQuietWatch(now) : state.OnRootChanged();
+    unchanged ? state.OnWatchUnchanged(now) : state.OnRootChanged();
   });
-  if (!quiet)
-    puller_.Wake();
+  if (!unchanged)
+    load_thread_.Wake();
 }
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/config_follower.h
+++ b/src/libsamphire/distribution/config_follower.h
@@ -8,47 +8,55 @@
 #include "base/stoppable_thread.h"
 #include "distribution/config_peer_source.h"
 #include "distribution/follower_state.h"
+#include "distribution/image_cache.h"
 #include "distribution/image_loader.h"
-#include "distribution/image_shelf.h"
 #include "metrics/metrics.h"
 #include "store/object_store.h"
 
 namespace samphire {
 
-// Gets the configuration into this entry and keeps it current: runs what
-// follower_state decides, in one thread, and the watch in another.
+// Loads the configuration into this entry and keeps it current. One thread
+// carries out the actions that follower_state decides on (loads from the
+// platform or from peers), another one watches the root at the platform. Start
+// and Stop are called by the owner; the other public methods but Step and
+// WatchStep may be called from any thread and don't block on I/O.
 class config_follower {
  public:
-  // Told each image as it comes into force, in the order of versions.
-  using on_image = std::function<void(const image_ptr& image)>;
+  // Called with each image as it comes into force, in the order of versions, on
+  // the loading thread and without any lock held.
+  using image_callback = std::function<void(const image_ptr& image)>;
 
   config_follower(object_store& store,
                   config_peer_source& peers,
                   const clock_source& clock,
                   metrics& metrics,
                   const follower_limits& limits,
-                  on_image slot);
+                  image_callback callback);
   ~config_follower();
 
+  // Starts both threads; Stop returns when the steps in progress have ended.
   void Start();
   void Stop();
 
-  // Whether this entry holds the watch, as IsWatcher says.
+  // Sets whether this entry watches the platform, as determined by IsWatcher.
   void SetWatching(bool watching);
-  // A peer told what it has, by gossip.
+  // Handles the configuration version that a peer announced by gossip.
   void OnPeerVersion(const std::string& peer, const peer_config& config);
 
-  // What to tell peers, and what to answer them from.
-  peer_config Tell() const;
-  const image_shelf& shelf() const { return shelf_; }
-  // Null until a version is confirmed.
-  image_ptr image() const { return shelf_.present(); }
-  // How long ago it was known that nothing newer was in force.
+  // Returns the version, digest and confirmation age to announce to peers, and
+  // the images from which peers' requests are served.
+  peer_config AdvertisedConfig() const;
+  const image_cache& cached_images() const { return image_cache_; }
+  // The image in force; null until the first one is loaded.
+  image_ptr image() const { return image_cache_.current(); }
+  // How long ago it was last confirmed that no newer version was in force.
   duration confirmed_age() const;
+  // Whether the last read or watch of the platform's root failed.
   bool platform_failing() const;
 
-  // One step of either thread, for tests that run without them; returns how
-  // long to wait before the next.
+  // Run one iteration of the loading and of the watch thread and return the
+  // delay until the next one. Called directly only by tests and benchmarks,
+  // which don't start the threads.
   duration Step();
   duration WatchStep();
 
@@ -57,13 +65,14 @@
 
   void ReadPlatformRoot();
   void Pull(const std::string& peer);
-  void AskPeers();
-  void Adopt(const result<image_ptr>& loaded,
-             time_point confirmed_at,
-             std::string_view source);
+  void QueryPeers();
+  void HandleLoadResult(const result<image_ptr>& loaded,
+                        time_point confirmed_at,
+                        std::string_view source);
   void CountVerdict(root_verdict verdict, std::string_view source);
-  // Chunks from `peer` if it has them whole, else from the platform.
-  chunk_fetch FetchFrom(const std::string& peer);
+  // Returns a function that fetches chunks from `peer` while its responses are
+  // valid, and otherwise from the platform.
+  chunk_fetch MakeChunkFetch(const std::string& peer);
   result<std::vector<std::string>> FetchFromPeer(
       const std::string& peer,
       const std::vector<std::string>& refs);
@@ -79,14 +88,16 @@
   const clock_source& clock_;
   metrics& metrics_;
   const follower_limits limits_;
-  const on_image slot_;
-  image_shelf shelf_;
+  const image_callback callback_;
+  image_cache image_cache_;
+  // Protects state_.
   mutable std::mutex lock_;
   follower_state state_;
-  // Of the watch thread alone; 0: the watch begins anew.
+  // Position in the platform's event stream, used by the watch thread only; 0
+  // starts a new watch.
   std::uint64_t cursor_ = 0;
-  stoppable_thread puller_;
-  stoppable_thread watcher_;
+  stoppable_thread load_thread_;
+  stoppable_thread watch_thread_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/config_image.cc
+++ b/src/libsamphire/distribution/config_image.cc
@@ -24,7 +24,8 @@
 
 void config_image::ForEachClientBlock(const block_visitor& visit) const {
   ForEachTreeLine(chunks_, root_.blocks, [&](std::string_view line) {
-    // The loader has read each line once already.
+    // The loader has validated each line of a fetched chunk, so a failure is
+    // not expected here.
     if (const auto block = ReadBlockLine(line))
       visit(block.value());
   });
--- a/src/libsamphire/distribution/config_image.h
+++ b/src/libsamphire/distribution/config_image.h
@@ -13,8 +13,8 @@
 
 namespace samphire {
 
-// Everything declared but the client blocks; shared by images that differ in
-// client blocks only.
+// The declaration without its client blocks. Immutable; shared by images that
+// differ in client blocks only.
 struct config_frame : boost::intrusive_ref_counter<config_frame> {
   samphire::declaration declaration;
 
@@ -23,7 +23,8 @@
 
 using frame_ptr = boost::intrusive_ptr<const config_frame>;
 
-// One version of the configuration, whole and checked. Never changed.
+// One complete and validated version of the configuration. Immutable and
+// reference-counted, so it may be read from any thread.
 class config_image : public boost::intrusive_ref_counter<config_image> {
  public:
   config_image(std::string root_text,
@@ -32,27 +33,29 @@
                chunk_map chunks);
 
   std::uint64_t version() const { return root_.change.version; }
-  // Of the root, and through its refs of everything.
+  // Digest of the root's text, which covers everything that the root refers to.
   const std::string& digest() const { return digest_; }
   const std::string& root_text() const { return root_text_; }
   const config_root& root() const { return root_; }
-  // Without client blocks.
+  // The declaration without client blocks.
   const declaration& frame() const { return frame_->declaration; }
   const frame_ptr& shared_frame() const { return frame_; }
-  // Equal for two images with the same client blocks.
+  // Ref of the tree of client blocks; equal for two images that share this
+  // tree.
   const std::string& blocks_ref() const { return root_.blocks.ref; }
   const chunk_map& chunks() const { return chunks_; }
-  // The chunk with this ref's content, or null.
+  // Returns the chunk with the digest of `ref`, or null.
   chunk_ptr FindChunk(std::string_view ref) const;
 
   using block_visitor = std::function<void(const client_block&)>;
   void ForEachClientBlock(const block_visitor& visit) const;
-  // The whole declaration, client blocks and all.
+  // Returns the complete declaration, including all client blocks.
   declaration Assemble() const;
 
-  // Whether the image was loaded with its history.
+  // Whether the image was loaded with its history chunk.
   bool has_history() const { return FindChunk(root_.history) != nullptr; }
-  // The changes that led here, the newest last; none without the history.
+  // Returns the retained changes up to this version, the newest last; empty if
+  // the history wasn't loaded.
   std::vector<config_change> History() const;
 
  private:
--- a/src/libsamphire/distribution/config_publisher.cc
+++ b/src/libsamphire/distribution/config_publisher.cc
@@ -16,9 +16,10 @@
 
 namespace {
 
-// What every entry will have to read is read here first. A declaration that a
-// caller let through unchecked would be accepted and then load nowhere, so
-// that each later change to mend it found no version to build on.
+// Reads the frame in the way in which every entry will have to read it.
+// Otherwise an invalid declaration that a caller failed to validate would be
+// accepted and then couldn't be loaded anywhere, and every later change to
+// correct it would find no version to build on.
 result<void> CheckReadable(const std::vector<keyed_line>& frame) {
   std::vector<std::string_view> lines;
   lines.reserve(frame.size());
@@ -50,31 +51,33 @@
 
 result<apply_receipt> config_publisher::Apply(const declaration& declared,
                                               const apply_request& request) {
-  std::lock_guard guard(changing_);
+  std::lock_guard guard(change_mutex_);
   BOOST_OUTCOME_TRY(from, ReadBase());
-  return Change(from, declared,
-                {FrameLines(declared), BlockLines(declared.client_blocks)},
-                request);
+  return ApplyLines(from, declared,
+                    {FrameLines(declared), BlockLines(declared.client_blocks)},
+                    request);
 }
 
-result<apply_receipt> config_publisher::Change(const base& from,
-                                               const declaration& wanted,
-                                               changed_lines lines,
-                                               const apply_request& request) {
-  const auto content = ContentOf(lines, from.image);
+result<apply_receipt> config_publisher::ApplyLines(
+    const base& from,
+    const declaration& wanted,
+    declared_lines lines,
+    const apply_request& request) {
+  const auto content = ContentDigestOf(lines, from.image);
   if (const auto done = FindChange(from.image, request.apply_id)) {
     if (done->content == content)
       return apply_receipt{done->version};
     return MakeError(result_code::kVersionConflict,
-                     "the apply id was used for another change");
+                     "the apply id was already used for a different change");
   }
   if (request.expect && *request.expect != from.version())
-    return Conflict(from);
+    return VersionConflict(from);
   BOOST_OUTCOME_TRYV(CheckReadable(lines.frame));
   auto touches = WitnessedChanges(
       from.image ? from.image->frame() : declaration(), wanted);
   auto built = BuildTrees(std::move(lines), from.image, options_.nonce());
-  // The first declaration has nothing that a witness could compare it to.
+  // The first declaration needs no witness, since there is nothing to compare
+  // it with.
   if (from.image && !touches.empty())
     return Propose(from, built, content, std::move(touches), request);
   return Commit(from, std::move(built),
@@ -90,10 +93,11 @@
   CompleteChange(built, change, history, from.image, options_.nonce());
   const auto committed = WriteChange(from, built);
   if (!committed) {
-    // Surely not in force, so what was written for it is nobody's. After an
-    // unknown outcome it stays: the root may name it.
+    // The change is certainly not in force, so nothing refers to the chunks
+    // written for it. After an unknown outcome they stay, because the root may
+    // refer to them.
     if (committed.error().code != result_code::kApplyOutcomeUnknown) {
-      const auto refs = RefsOf(built.fresh);
+      const auto refs = RefsOf(built.new_chunks);
       orphans_.insert(orphans_.end(), refs.begin(), refs.end());
       CollectOrphans();
     }
@@ -102,21 +106,23 @@
         fmt::format("reason=\"{}\"", NameOf(committed.error().code)));
     return committed.error();
   }
-  KeepImage(from, built);
+  CacheWrittenImage(from, built);
   metrics_.Count("config_applies_total");
   Log(log_level::kInfo, "config-applied",
       {{"version", change.version},
        {"apply_id", change.apply_id},
        {"operator", change.operator_name},
        {"witness", change.witness},
-       {"chunks", built.fresh.size()}});
+       {"chunks", built.new_chunks.size()}});
   return apply_receipt{change.version};
 }
 
-// What was written is known here, so the next change need not read it back.
-void config_publisher::KeepImage(const base& from, const built_change& built) {
+// Caches the image of the change just written, so that the next change need not
+// read it back.
+void config_publisher::CacheWrittenImage(const base& from,
+                                         const built_change& built) {
   chunk_map written;
-  for (const auto* chunks : {&built.fresh, &built.proposed}) {
+  for (const auto* chunks : {&built.new_chunks, &built.proposed_chunks}) {
     for (const auto& chunk : *chunks)
       written[DigestOf(chunk->ref)] = chunk;
   }
@@ -125,23 +131,24 @@
       [&](const std::vector<std::string>& refs) { return chunks_.Fetch(refs); },
       history_use::kLoad);
   if (image)
-    OfferImage(std::move(image.value()));
+    CacheImage(std::move(image.value()));
 }
 
 result<void> config_publisher::WriteChange(const base& from,
                                            const built_change& built) {
-  for (const auto& chunk : built.fresh) {
-    // Whether a chunk was written or not: without its root it means nothing.
+  for (const auto& chunk : built.new_chunks) {
+    // Whether the chunk was written doesn't matter: without a root that refers
+    // to it, it has no effect.
     const auto written = chunks_.Write(*chunk);
     if (!written)
       return MakeError(result_code::kStoreUnreachable, written.error().detail);
   }
-  const auto holds_change = [&](const std::string& text) -> result<bool> {
+  const auto contains_change = [&](const std::string& text) -> result<bool> {
     BOOST_OUTCOME_TRY(image, Load(text));
     return FindChange(image, built.root.change.apply_id).has_value();
   };
   return CommitRoot(store_, WriteRoot(built.root), from.store_version,
-                    holds_change, options_, metrics_);
+                    contains_change, options_, metrics_);
 }
 
 void config_publisher::CollectOrphans() {
@@ -149,11 +156,12 @@
     orphans_.clear();
 }
 
-// Collects what only versions older than the retained ones named, and returns
-// the history without those changes. This goes by a root that is in force, and
-// refs are never named again once dropped, so no rival's change can need what
-// is deleted here. It runs before the new root is written: were it after, a
-// process that dies in between would leave chunks that nothing remembers.
+// Deletes the chunks that only versions older than the retained ones referred
+// to, and returns the history without those changes. This relies on a root that
+// is in force, and refs are never named again once dropped, so no concurrent
+// change can need what is deleted here. It runs before the new root is written:
+// if it ran afterwards, a process that fails in between would leave chunks that
+// no record refers to.
 std::vector<config_change> config_publisher::CollectOld(
     const image_ptr& image) {
   std::vector<config_change> kept;
@@ -165,11 +173,12 @@
       kept.push_back(change);
       continue;
     }
-    const auto collected = Collect(change);
+    const auto collected = CollectDropped(change);
     if (collected && collected.value())
       continue;
-    // The platform has an outage; the next change tries again. A history that
-    // grew without bound would in the end make every change fail.
+    // The platform has an outage; the next change tries again. The record is
+    // finally discarded and its chunks are leaked, since a history that grew
+    // without bound would in the end make every change fail.
     if (age < 2 * options_.retained)
       kept.push_back(change);
     else
@@ -178,11 +187,11 @@
   return kept;
 }
 
-result<bool> config_publisher::Collect(const config_change& change) {
+result<bool> config_publisher::CollectDropped(const config_change& change) {
   if (change.dropped.empty())
     return true;
   const auto listed = chunks_.Fetch({change.dropped});
-  // Another publisher collected it and failed to write its root.
+  // Another publisher deleted these chunks and then failed to write its root.
   if (!listed && listed.error().code == result_code::kStoreNotFound)
     return true;
   if (!listed)
@@ -192,7 +201,7 @@
   return true;
 }
 
-result<image_ptr> config_publisher::Present() {
+result<image_ptr> config_publisher::Current() {
   BOOST_OUTCOME_TRY(from, ReadBase());
   if (!from.image)
     return MakeError(result_code::kNoConfiguration);
@@ -210,30 +219,32 @@
 }
 
 result<image_ptr> config_publisher::Load(const std::string& root_text) {
-  image_ptr known;
+  image_ptr cached;
   {
     std::lock_guard guard(lock_);
-    known = known_;
+    cached = cached_image_;
   }
-  if (known && known->root_text() == root_text && known->has_history())
-    return known;
+  if (cached && cached->root_text() == root_text && cached->has_history())
+    return cached;
   BOOST_OUTCOME_TRY(image, LoadImage(
-                               root_text, known, {},
+                               root_text, cached, {},
                                [&](const std::vector<std::string>& refs) {
                                  return chunks_.Fetch(refs);
                                },
                                history_use::kLoad));
-  OfferImage(image);
+  CacheImage(image);
   return image;
 }
 
-void config_publisher::OfferImage(image_ptr image) {
+void config_publisher::CacheImage(image_ptr image) {
   std::lock_guard guard(lock_);
-  const bool newer = !known_ || known_->version() < image->version();
-  const bool fuller =
-      known_ && known_->version() == image->version() && image->has_history();
-  if (newer || fuller)
-    known_ = std::move(image);
+  const bool newer =
+      !cached_image_ || cached_image_->version() < image->version();
+  const bool adds_history = cached_image_ &&
+                            cached_image_->version() == image->version() &&
+                            image->has_history();
+  if (newer || adds_history)
+    cached_image_ = std::move(image);
 }
 
 std::optional<config_change> config_publisher::FindChange(
@@ -248,9 +259,9 @@
   return std::nullopt;
 }
 
-error config_publisher::Conflict(const base& from) {
+error config_publisher::VersionConflict(const base& from) {
   return MakeError(result_code::kVersionConflict,
-                   fmt::format("in force is {}", from.version()));
+                   fmt::format("the version in force is {}", from.version()));
 }
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/config_publisher.h
+++ b/src/libsamphire/distribution/config_publisher.h
@@ -16,8 +16,11 @@
 
 namespace samphire {
 
-// Brings changes into force: as a whole, by one conditional update of the
-// root, or not at all. One change at a time in a process; others wait.
+// Brings configuration changes into force, each as a whole or not at all, by
+// one conditional write of the root object. Thread-safe; calls block for the
+// time of the store's calls and retries. Only one change at a time is processed
+// per process, further ones wait. Besides the errors named below, errors of the
+// store are returned.
 class config_publisher {
  public:
   config_publisher(object_store& store,
@@ -25,31 +28,39 @@
                    metrics& metrics,
                    publish_options options = DefaultPublishOptions());
 
-  // Brings `declared`, read and checked before, into force. kWitnessNeeded:
-  // proposed under its apply id, since it touches a witnessed class.
+  // Brings `declared`, which was parsed and validated before, into force.
+  // Returns kWitnessNeeded if the change affects a witnessed class and was
+  // therefore only proposed under its apply id, and kVersionConflict if another
+  // change was accepted first.
   result<apply_receipt> Apply(const declaration& declared,
                               const apply_request& request);
-  // Each is an apply of what is in force with one drain changed; a drain of
-  // the same name is replaced.
+  // Apply the declaration in force with one drain changed; AddDrain replaces a
+  // drain of the same name, and RemoveDrain returns kUnknownDrain if there is
+  // none.
   result<apply_receipt> AddDrain(const drain& added,
                                  const apply_request& request);
   result<apply_receipt> RemoveDrain(const std::string& name,
                                     const apply_request& request);
-  // Accepts a proposal; `operator_name` must not be its proposer.
+  // Accepts the proposal `id`. `operator_name` must not be its proposer
+  // (kWitnessIsProposer). Returns kUnknownProposal if there is none, and
+  // kVersionConflict if it was built on an older version.
   result<apply_receipt> Witness(const std::string& id,
                                 const std::string& operator_name);
 
-  // What the platform has in force; kNoConfiguration if nothing is yet.
-  result<image_ptr> Present();
+  // Returns the image in force at the platform; kNoConfiguration if nothing was
+  // applied yet.
+  result<image_ptr> Current();
+  // Returns the proposals that wait for a witness.
   result<std::vector<config_proposal>> Proposals();
 
-  // An image that the entry holds anyway, so that the next change need not
-  // load it.
-  void OfferImage(image_ptr image);
+  // Offers an image that the entry has loaded anyway, so that the next change
+  // need not load it from the platform.
+  void CacheImage(image_ptr image);
 
  private:
   // The root object as read, with its image; null before the first apply.
   struct base {
+    // Version of the root object in the store, for its conditional write.
     std::uint64_t store_version = 0;
     image_ptr image;
 
@@ -61,10 +72,10 @@
   result<image_ptr> Load(const std::string& root_text);
   result<apply_receipt> EditFrame(const apply_request& request,
                                   const frame_edit& edit);
-  result<apply_receipt> Change(const base& from,
-                               const declaration& wanted,
-                               changed_lines lines,
-                               const apply_request& request);
+  result<apply_receipt> ApplyLines(const base& from,
+                                   const declaration& wanted,
+                                   declared_lines lines,
+                                   const apply_request& request);
   result<apply_receipt> Propose(const base& from,
                                 const built_change& built,
                                 const std::string& content,
@@ -77,29 +88,31 @@
                                built_change built,
                                config_change change);
   result<void> WriteChange(const base& from, const built_change& built);
-  void KeepImage(const base& from, const built_change& built);
+  void CacheWrittenImage(const base& from, const built_change& built);
   void CollectOrphans();
   std::vector<config_change> CollectOld(const image_ptr& image);
-  result<bool> Collect(const config_change& change);
-  void DropProposal(const std::string& id);
-  // The change of this apply id in the history of `image`, if it is there.
+  result<bool> CollectDropped(const config_change& change);
+  void DeleteProposal(const std::string& id);
+  // Returns the change with this apply id from the history of `image` (may be
+  // null), if it is there.
   static std::optional<config_change> FindChange(const image_ptr& image,
                                                  const std::string& apply_id);
-  static error Conflict(const base& from);
+  static error VersionConflict(const base& from);
 
   object_store& store_;
   const clock_source& clock_;
   metrics& metrics_;
   const publish_options options_;
   chunk_store chunks_;
-  // Held over a whole change: its steps build on one another.
-  std::mutex changing_;
-  // Chunks of failed changes, to be removed when the platform can be reached.
-  // Under `changing_`.
+  // Held for the whole of a change, since its steps build on one another.
+  std::mutex change_mutex_;
+  // Chunks of failed changes, to be deleted when the platform can be reached.
+  // Protected by `change_mutex_`.
   std::vector<std::string> orphans_;
   std::mutex lock_;
-  // The newest image known, to load others from. Under `lock_`.
-  image_ptr known_;
+  // The newest image that was loaded, written or offered; others are loaded
+  // relative to it. Protected by `lock_`.
+  image_ptr cached_image_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/config_publisher_drain.cc
+++ b/src/libsamphire/distribution/config_publisher_drain.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Two operators who declare drains in the same moment both mean it, and their
-// drains don't touch: each is tried on the newer version. More rivals than
-// this in a row would be a script gone wild.
-constexpr int kEditAttempts = 5;
+// Bounds how often a drain is retried on a newer version. Two operators who
+// declare drains at the same moment both intend theirs, and the drains are
+// independent. More conflicts than this in a row indicate a runaway script.
+constexpr int kMaxEditAttempts = 5;
 
 }  // namespace
 
@@ -37,12 +37,12 @@
 
 result<apply_receipt> config_publisher::EditFrame(const apply_request& request,
                                                   const frame_edit& edit) {
-  std::lock_guard guard(changing_);
+  std::lock_guard guard(change_mutex_);
   for (int n = 0;; ++n) {
     BOOST_OUTCOME_TRY(from, ReadBase());
     if (!from.image)
       return MakeError(result_code::kNoConfiguration);
-    // A repeat must not fail because its first try did what it asks for.
+    // A retry must not fail because the first attempt already made the change.
     if (const auto done = FindChange(from.image, request.apply_id))
       return apply_receipt{done->version};
     auto wanted = from.image->frame();
@@ -51,10 +51,10 @@
     BOOST_OUTCOME_TRYV(
         CheckNewDrains(wanted, clock_.wall_now(), &from.image->frame()));
     auto changed =
-        Change(from, wanted, {FrameLines(wanted), std::nullopt}, request);
-    const bool rival =
+        ApplyLines(from, wanted, {FrameLines(wanted), std::nullopt}, request);
+    const bool conflict =
         !changed && changed.error().code == result_code::kVersionConflict;
-    if (!rival || request.expect || n + 1 >= kEditAttempts)
+    if (!conflict || request.expect || n + 1 >= kMaxEditAttempts)
       return changed;
     metrics_.CountRetry(result_code::kVersionConflict);
   }
--- a/src/libsamphire/distribution/config_publisher_witness.cc
+++ b/src/libsamphire/distribution/config_publisher_witness.cc
@@ -21,15 +21,15 @@
                            {},
                            std::move(touches)};
   const auto key = ProposalKey(proposal.id);
-  const auto present = store_.Get(key);
-  if (present) {
-    BOOST_OUTCOME_TRY(earlier, ReadProposal(present.value().value));
+  const auto current = store_.Get(key);
+  if (current) {
+    BOOST_OUTCOME_TRY(earlier, ReadProposal(current.value().value));
     if (earlier.content == content && earlier.base_version == from.version())
       return MakeError(result_code::kWitnessNeeded, proposal.id);
     return MakeError(result_code::kVersionConflict,
-                     "the id is that of another proposal");
+                     "the apply id was already used for a different proposal");
   }
-  for (const auto& chunk : built.fresh) {
+  for (const auto& chunk : built.new_chunks) {
     proposal.fresh.push_back(chunk->ref);
     BOOST_OUTCOME_TRYV(chunks_.Write(*chunk));
   }
@@ -45,11 +45,11 @@
 result<apply_receipt> config_publisher::Witness(
     const std::string& id,
     const std::string& operator_name) {
-  std::lock_guard guard(changing_);
+  std::lock_guard guard(change_mutex_);
   BOOST_OUTCOME_TRY(from, ReadBase());
-  // Accepted before, and the answer was lost.
+  // The proposal was accepted before, and the response to the witness was lost.
   if (const auto done = FindChange(from.image, id)) {
-    DropProposal(id);
+    DeleteProposal(id);
     return apply_receipt{done->version};
   }
   const auto object = store_.Get(ProposalKey(id));
@@ -63,23 +63,24 @@
   return AcceptProposal(from, proposal, operator_name);
 }
 
-// The witness saw the change against the version that it was made on. On a
-// newer one it would undo what came in between, which nobody looked at.
+// The witness reviewed the change against the version on which it was built.
+// Applied to a newer version it would undo the changes in between, which nobody
+// has reviewed.
 result<apply_receipt> config_publisher::AcceptProposal(
     const base& from,
     const config_proposal& proposal,
     const std::string& witness) {
   if (proposal.base_version != from.version()) {
-    DropProposal(proposal.id);
+    DeleteProposal(proposal.id);
     static_cast<void>(chunks_.Remove(proposal.fresh));
-    return Conflict(from);
+    return VersionConflict(from);
   }
   built_change built;
   built.root.frame = proposal.frame;
   built.root.blocks = proposal.blocks;
   BOOST_OUTCOME_TRY(texts, chunks_.Fetch(proposal.fresh));
   for (std::size_t i = 0; i < texts.size(); ++i) {
-    built.proposed.emplace_back(
+    built.proposed_chunks.emplace_back(
         new config_chunk(proposal.fresh[i], std::move(texts[i])));
   }
   auto accepted =
@@ -87,7 +88,7 @@
              {from.version() + 1, proposal.id, proposal.operator_name, witness,
               FormatWallTime(clock_.wall_now()), proposal.content, ""});
   if (accepted)
-    DropProposal(proposal.id);
+    DeleteProposal(proposal.id);
   return accepted;
 }
 
@@ -101,8 +102,9 @@
   return proposals;
 }
 
-// Left behind at worst: a proposal of an older version is refused anyway.
-void config_publisher::DropProposal(const std::string& id) {
+// Errors are ignored: at worst the proposal is left behind, and a proposal
+// built on an older version is refused anyway.
+void config_publisher::DeleteProposal(const std::string& id) {
   const auto key = ProposalKey(id);
   if (const auto object = store_.Get(key))
     static_cast<void>(store_.Delete(key, object.value().version));
--- a/src/libsamphire/distribution/config_root.h
+++ b/src/libsamphire/distribution/config_root.h
@@ -9,19 +9,23 @@
 
 namespace samphire {
 
+// Object key of the root at the platform.
 inline const std::string kConfigRootKey = "config/root";
 
-// What `config/root` holds: the version in force and where its parts are.
+// Content of the object `config/root`: the version in force and refs to its
+// parts.
 struct config_root {
   config_change change;
+  // The trees of everything declared but the client blocks, and of the client
+  // blocks.
   tree_ref frame;
   tree_ref blocks;
-  // The chunk of the changes that led here, this one included.
+  // Ref of the chunk with the retained history, this change included.
   std::string history;
 };
 
 std::string WriteRoot(const config_root& root);
-// kStoreCorrupt if `text` is not a root.
+// Returns kStoreCorrupt if `text` isn't a root.
 result<config_root> ReadRoot(const std::string& text);
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/config_update.h
+++ b/src/libsamphire/distribution/config_update.h
@@ -10,10 +10,11 @@
 
 namespace samphire {
 
-// How one chunk comes about from another: the lines that differ.
+// Describes one chunk as the lines that differ from another chunk.
 struct chunk_delta {
-  // The digest of the chunk to start from; empty: from nothing.
+  // Digest of the chunk to start from; empty to start from an empty chunk.
   std::string base;
+  // Ref of the resulting chunk.
   std::string ref;
   std::vector<std::string> removed;
   std::vector<std::string> added;
@@ -24,8 +25,8 @@
   }
 };
 
-// What one entry sends another to bring it to its own version. Chunks that it
-// leaves out are asked for by ref.
+// Sent by one entry to bring another one to its own version. Chunks that it
+// leaves out are requested by ref.
 struct config_update {
   std::string root_text;
   std::vector<chunk_delta> deltas;
@@ -36,11 +37,12 @@
   }
 };
 
-// The update from `base` (may be null) to `present`.
-config_update MakeUpdate(const image_ptr& base, const config_image& present);
+// Returns the update from `base` (may be null) to `current`.
+config_update MakeUpdate(const image_ptr& base, const config_image& current);
 
-// The chunks that `update` makes out of those of `base`, by digest. A delta
-// that doesn't fit is left out: its chunk is fetched whole then.
+// Returns, by digest, the chunks that `update` produces from those of `base`
+// (may be null). A delta whose base chunk is missing is skipped; its chunk is
+// then fetched as a whole.
 chunk_map ApplyUpdate(const image_ptr& base, const config_update& update);
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/declaration_lines.cc
+++ b/src/libsamphire/distribution/declaration_lines.cc
@@ -25,8 +25,8 @@
 
 constexpr std::string_view kTargets = "targets";
 constexpr std::string_view kServices = "services";
-// What tells the items of a list apart, whichever of them an item has.
-constexpr std::array<const char*, 3> kKeyFields{"name", "from", "to"};
+// Fields that identify an item of a list; an item has some of them.
+constexpr std::array<const char*, 3> kIdentifyingFields{"name", "from", "to"};
 
 std::string TextOf(const Poco::Dynamic::Var& value) {
   std::ostringstream text;
@@ -35,7 +35,7 @@
 }
 
 std::string KeyOf(std::string key, const Object& item) {
-  for (const auto* field : kKeyFields) {
+  for (const auto* field : kIdentifyingFields) {
     if (item.has(field))
       key += ' ' + item.getValue<std::string>(field);
   }
@@ -60,7 +60,8 @@
       const auto item = list.getObject(i);
       const auto key = KeyOf(name, *item);
       Poco::JSON::Object::Ptr rest = new Object(*item);
-      // Thousands of targets in one line would make each change cost them all.
+      // Each target gets its own line: with thousands of targets in one line,
+      // every change would have to send them all.
       if (const auto targets = item->getArray(std::string(kTargets))) {
         WriteList(
             fmt::format("{} {}", kTargets, item->getValue<std::string>("name")),
@@ -78,7 +79,7 @@
   std::vector<keyed_line> lines_;
 };
 
-// Puts the JSON of a declaration together again, item by item.
+// Reassembles the JSON of a declaration, item by item.
 class frame_reader {
  public:
   bool Add(std::string_view line) {
@@ -92,9 +93,9 @@
     if (space == key.size())
       members_[member] = value;
     else if (member == kTargets)
-      AppendTo(targets_[Second(key)], value);
+      AppendTo(targets_[SecondWord(key)], value);
     else if (member == kServices)
-      services_[Second(key)] = value;
+      services_[SecondWord(key)] = value;
     else
       AppendTo(lists_[member], value);
     return true;
@@ -114,7 +115,7 @@
   }
 
  private:
-  static std::string Second(std::string_view key) {
+  static std::string SecondWord(std::string_view key) {
     key.remove_prefix(key.find(' ') + 1);
     return std::string(key.substr(0, key.find(' ')));
   }
@@ -165,10 +166,12 @@
 result<client_block> ReadBlockLine(std::string_view line) {
   const auto tab = line.find('\t');
   if (tab == std::string_view::npos)
-    return MakeError(result_code::kStoreCorrupt, "client block line");
+    return MakeError(result_code::kStoreCorrupt,
+                     "client block line without region");
   auto block = ParseClientBlock(line.substr(0, tab));
   if (!block)
-    return MakeError(result_code::kStoreCorrupt, "client block line");
+    return MakeError(result_code::kStoreCorrupt,
+                     "client block line with a malformed address block");
   block->region = line.substr(tab + 1);
   return *block;
 }
@@ -177,7 +180,7 @@
   frame_reader reader;
   for (const auto line : lines) {
     if (!reader.Add(line))
-      return MakeError(result_code::kStoreCorrupt, "frame line");
+      return MakeError(result_code::kStoreCorrupt, "malformed frame line");
   }
   return ReadAcceptedDeclaration(reader.Json());
 }
--- a/src/libsamphire/distribution/declaration_lines.h
+++ b/src/libsamphire/distribution/declaration_lines.h
@@ -10,15 +10,17 @@
 
 namespace samphire {
 
-// A declaration as two sets of lines: the client blocks, of which there may be
-// millions, and the frame, which is everything else. The order of lists is not
-// kept, as it means nothing.
+// Converts a declaration to two sets of lines: the client blocks, of which
+// there may be millions, and the frame, which is everything else. The order of
+// lists isn't preserved, because it has no meaning.
 std::vector<keyed_line> BlockLines(const std::vector<client_block>& blocks);
 std::vector<keyed_line> FrameLines(const declaration& declared);
 
-// Reads a block's line; kStoreCorrupt if it is not one.
+// Parses the line of a client block; returns kStoreCorrupt if it is malformed.
 result<client_block> ReadBlockLine(std::string_view line);
-// Reads the frame's lines; the declaration has no client blocks.
+// Parses the lines of a frame into a declaration without client blocks. Returns
+// kStoreCorrupt for a malformed line, otherwise the errors of
+// ReadAcceptedDeclaration.
 result<declaration> ReadFrame(const std::vector<std::string_view>& lines);
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/follower_action.h
+++ b/src/libsamphire/distribution/follower_action.h
@@ -11,19 +11,20 @@
 
 // Read the root at the platform, and load its image if it is newer.
 struct read_root {};
-// Load what `peer` has.
+// Load the version that `peer` has in force.
 struct pull_from_peer {
   std::string peer;
   std::uint64_t version = 0;
 };
-// Ask the peers what they have, and load the highest version among them.
-struct ask_peers {};
+// Query the peers for their versions and load the highest of them.
+struct query_peers {};
+// Do nothing until `at`.
 struct wait_until {
   time_point at;
 };
 
 using follower_action =
-    std::variant<read_root, pull_from_peer, ask_peers, wait_until>;
+    std::variant<read_root, pull_from_peer, query_peers, wait_until>;
 
 }  // namespace samphire
 
--- a/src/libsamphire/distribution/follower_limits.h
+++ b/src/libsamphire/distribution/follower_limits.h
@@ -5,20 +5,27 @@
 
 namespace samphire {
 
-// The times a follower goes by.
+// Timeouts and intervals of a follower.
 struct follower_limits {
-  // How long one watch waits: the age of a confirmation stays near this.
-  milliseconds watch_wait{4000};
-  // A start in an outage tries the platform this long before it asks peers.
-  milliseconds boot_wait{1500};
-  // Without a confirmation for this long the platform is asked directly.
-  milliseconds confirm_within{12'000};
-  milliseconds first_retry{200};
-  milliseconds longest_retry{4000};
-  milliseconds watcher_instances_every{2000};
-  milliseconds peer_instances_every{4000};
-  // Each entry's own number between 0 and 1: spreads what all would else do
-  // at the same moment.
+  // Timeout of one watch request. An unchanged watch confirms the version in
+  // force, so the confirmation age stays near this value.
+  milliseconds watch_timeout{4000};
+  // For how long after its start an entry without a configuration tries only
+  // the platform before it queries peers.
+  milliseconds peer_fallback_delay{1500};
+  // Without a confirmation for this long, the platform is queried directly.
+  milliseconds max_confirmation_age{12'000};
+  // Backoff after failed reads of the root and failed loads: the delay after
+  // the first failure, which doubles with each further one, and its upper
+  // bound.
+  milliseconds initial_retry_delay{200};
+  milliseconds max_retry_delay{4000};
+  // Interval at which a watcher reads the instance list from the platform, and
+  // at which the other entries request it from a peer.
+  milliseconds watcher_instances_interval{2000};
+  milliseconds peer_instances_interval{4000};
+  // Jitter factor of this entry between 0 and 1, which spreads over time what
+  // all entries would otherwise do at the same moment.
   double jitter = 0.5;
 };
 
--- a/src/libsamphire/distribution/follower_state.h
+++ b/src/libsamphire/distribution/follower_state.h
@@ -11,43 +11,49 @@
 
 namespace samphire {
 
-// Decides how one entry gets its configuration and keeps it current. Pure: it
-// is told what happened and says what to do next.
+// Decides how one entry loads its configuration and keeps it current. A pure
+// state machine: callers report events and then request the next action. Not
+// thread-safe.
 class follower_state {
  public:
   follower_state(const follower_limits& limits, time_point start);
 
+  // Whether this entry watches the root at the platform.
   void SetWatching(bool watching) { watching_ = watching; }
   bool watching() const { return watching_; }
 
-  // The platform's root was read; the verdict tells whether to load it.
+  // The platform's root was read. The verdict tells whether to load it.
   root_verdict OnRoot(std::uint64_t version,
                       const std::string& digest,
                       time_point now);
-  // The platform answered that nothing was ever applied.
+  // The platform answered that no configuration was ever applied.
   void OnNoRoot(time_point now);
-  // The watch told of a change, or begins anew.
+  // The watch reported a change, or a new watch begins.
   void OnRootChanged();
-  // The watch found that up to `now` nothing was written.
-  void OnQuietWatch(time_point now);
+  // The watch ended without an event: up to `now` nothing was written.
+  void OnWatchUnchanged(time_point now);
+  // A read or a watch of the platform's root failed.
   void OnPlatformError(time_point now);
-  root_verdict OnPeer(const std::string& peer,
-                      const peer_config& config,
-                      time_point now);
-  // An image is loaded and in force from now on.
+  // A peer announced the version that it has in force.
+  root_verdict OnPeerConfig(const std::string& peer,
+                            const peer_config& config,
+                            time_point now);
+  // An image was loaded and is in force from now on.
   void OnImage(std::uint64_t version,
                const std::string& digest,
                time_point confirmed_at);
+  // An image couldn't be loaded, or wasn't newer than the one in force.
   void OnLoadFailed(time_point now);
 
+  // Returns what to do at `now`.
   follower_action Next(time_point now) const;
 
   std::uint64_t version() const { return version_; }
   const std::string& digest() const { return digest_; }
-  // When it was last known that nothing newer was in force.
+  // When it was last confirmed that no newer version was in force.
   time_point confirmed_at() const { return confirmed_at_; }
   bool has_image() const { return version_ != 0; }
-  // Whether the platform failed the last time it was asked.
+  // Whether the last read or watch of the platform's root failed.
   bool platform_failing() const { return platform_failures_ > 0; }
 
  private:
@@ -61,15 +67,17 @@
   std::uint64_t version_ = 0;
   std::string digest_;
   time_point confirmed_at_;
-  // The version of the root when it was last read.
+  // Version of the root when it was last read.
   std::uint64_t root_version_ = 0;
+  // Whether the root must be read again.
   bool root_changed_ = false;
   int platform_failures_ = 0;
   time_point platform_retry_at_;
-  // The last time the platform said that it has no configuration.
+  // When the platform last answered that it has no configuration.
   time_point no_root_at_;
   bool no_root_ = false;
-  // A peer with a newer version than ours.
+  // A peer that announced a newer version than the one in force, and this
+  // version; 0 if there is none.
   std::string newer_peer_;
   std::uint64_t newer_version_ = 0;
   int load_failures_ = 0;
--- a/src/libsamphire/distribution/image_shelf.cc
+++ b/src/libsamphire/distribution/image_cache.cc
@@ -1,4 +1,4 @@
-#include "distribution/image_shelf.h"
+#include "distribution/image_cache.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,13 +7,14 @@
 
 namespace {
 
-// At a change every 4 s a peer may be half a minute behind and still get a
-// delta. Images share their chunks, so each costs little more than a map.
+// Bounds the cached images. At a change every 4 s, a peer may be half a minute
+// behind and still get a delta. Images share their chunks, so each costs little
+// more memory than a map.
 constexpr std::size_t kMaxImages = 8;
 
 }  // namespace
 
-void image_shelf::Add(image_ptr image) {
+void image_cache::Add(image_ptr image) {
   std::lock_guard guard(lock_);
   if (!images_.empty() && images_.back()->version() >= image->version())
     return;
@@ -22,19 +23,19 @@
     images_.pop_front();
 }
 
-image_ptr image_shelf::present() const {
+image_ptr image_cache::current() const {
   std::lock_guard guard(lock_);
   return images_.empty() ? nullptr : images_.back();
 }
 
-result<config_update> image_shelf::Pull(std::uint64_t have_version) const {
-  const auto image = present();
+result<config_update> image_cache::Pull(std::uint64_t have_version) const {
+  const auto image = current();
   if (!image)
     return MakeError(result_code::kNoConfiguration);
   return MakeUpdate(Find(have_version), *image);
 }
 
-result<std::vector<std::string>> image_shelf::Chunks(
+result<std::vector<std::string>> image_cache::Chunks(
     const std::vector<std::string>& refs) const {
   std::deque<image_ptr> images;
   {
@@ -53,7 +54,7 @@
   return texts;
 }
 
-image_ptr image_shelf::Find(std::uint64_t version) const {
+image_ptr image_cache::Find(std::uint64_t version) const {
   std::lock_guard guard(lock_);
   const auto found = std::find_if(
       images_.begin(), images_.end(),
--- a/src/libsamphire/distribution/image_loader.cc
+++ b/src/libsamphire/distribution/image_loader.cc
@@ -11,9 +11,10 @@
 
 namespace {
 
-// Bounds one ask to a peer or one burst of reads at the platform.
-constexpr std::size_t kMaxFetch = 64;
-// More would only be a damaged root; the tree's depth follows from it.
+// Bounds the chunks in one request to a peer, or in one burst of reads from the
+// platform.
+constexpr std::size_t kMaxChunksPerFetch = 64;
+// Bounds the depth of a tree; more bits can only come from a damaged root.
 constexpr unsigned kMaxTreeBits = 32;
 
 error Corrupt(std::string detail) {
@@ -43,7 +44,7 @@
  private:
   result<void> LoadTree(const tree_ref& tree, bool holds_blocks) {
     if (tree.bits > kMaxTreeBits)
-      return Corrupt("bits of a tree");
+      return Corrupt("too many bits for a tree");
     std::vector<std::string> level{tree.ref};
     for (unsigned bits = tree.bits;; bits -= ChildBits(bits)) {
       BOOST_OUTCOME_TRYV(LoadLevel(level, bits == 0 && holds_blocks));
@@ -61,8 +62,8 @@
       if (!UseKnown(ref))
         missing.push_back(ref);
     }
-    for (std::size_t at = 0; at < missing.size(); at += kMaxFetch) {
-      const auto end = std::min(missing.size(), at + kMaxFetch);
+    for (std::size_t at = 0; at < missing.size(); at += kMaxChunksPerFetch) {
+      const auto end = std::min(missing.size(), at + kMaxChunksPerFetch);
       BOOST_OUTCOME_TRYV(
           Fetch({missing.begin() + static_cast<std::ptrdiff_t>(at),
                  missing.begin() + static_cast<std::ptrdiff_t>(end)},
@@ -83,16 +84,16 @@
     return true;
   }
 
-  // What arrives may be damaged on the way, cut short or another chunk
-  // altogether; in force it would send callers to the wrong region without
-  // anybody noticing. A chunk is what its digest says, or it is not used.
+  // A response may be damaged, truncated or another chunk altogether; in force,
+  // such a chunk would send callers to the wrong region without anybody
+  // noticing. A chunk is therefore used only if its text matches its digest.
   result<void> Fetch(const std::vector<std::string>& refs, bool holds_blocks) {
     BOOST_OUTCOME_TRY(texts, fetch_(refs));
     if (texts.size() != refs.size())
-      return Corrupt("number of chunks");
+      return Corrupt("fewer or more chunks than requested");
     for (std::size_t i = 0; i < refs.size(); ++i) {
       if (ContentDigest(texts[i]) != DigestOf(refs[i]))
-        return Corrupt("chunk " + refs[i]);
+        return Corrupt("digest mismatch in chunk " + refs[i]);
       if (holds_blocks) {
         BOOST_OUTCOME_TRYV(CheckBlocks(texts[i]));
       }
@@ -102,29 +103,29 @@
   }
 
   static result<void> CheckBlocks(const std::string& text) {
-    bool sound = true;
+    bool valid = true;
     ForEachLine(text, [&](std::string_view line) {
-      sound = sound && ReadBlockLine(line).has_value();
+      valid = valid && ReadBlockLine(line).has_value();
     });
-    if (!sound)
-      return Corrupt("client blocks");
+    if (!valid)
+      return Corrupt("malformed line in a chunk of client blocks");
     return Success();
   }
 
   result<std::vector<std::string>> Children(
       const std::vector<std::string>& refs) const {
     std::vector<std::string> children;
-    bool sound = true;
+    bool valid = true;
     for (const auto& ref : refs) {
       ForEachLine(used_.at(DigestOf(ref))->text, [&](std::string_view line) {
         child_ref child;
-        sound = sound && ParseChild(line, child);
-        if (sound)
+        valid = valid && ParseChild(line, child);
+        if (valid)
           children.emplace_back(child.ref);
       });
     }
-    if (!sound)
-      return Corrupt("inner chunk");
+    if (!valid)
+      return Corrupt("malformed line in an inner chunk");
     return children;
   }
 
--- a/src/libsamphire/distribution/image_loader.h
+++ b/src/libsamphire/distribution/image_loader.h
@@ -10,22 +10,24 @@
 
 namespace samphire {
 
-// Gets the texts of chunks by ref, in the order asked.
+// Fetches the texts of chunks by ref, in the order of `refs`.
 using chunk_fetch = std::function<result<std::vector<std::string>>(
     const std::vector<std::string>& refs)>;
 
-// Whether an image holds the history, which only a publisher needs: for the
-// many who follow it would be most of the bytes of a change.
-enum class history_use { kLeaveOut, kLoad };
+// Whether to load an image with its history, which only a publisher needs: for
+// the many followers it would be most of the bytes of a change.
+enum class history_use { kSkip, kLoad };
 
-// Makes the image of a root. Chunks of `base` and `offered` are used by their
-// digest; only what is missing is fetched, level by level. Every chunk is
-// checked against its digest and every line read: kStoreCorrupt if not sound.
+// Loads the image of a root. Chunks of `base` (may be null) and `offered` are
+// reused by their digest; only the missing ones are fetched, level by level of
+// each tree. Every fetched chunk is checked against its digest, and the lines
+// of fetched client blocks and of a new frame are parsed. Returns kStoreCorrupt
+// if the root or a chunk is damaged, or the error of `fetch`.
 result<image_ptr> LoadImage(const std::string& root_text,
                             const image_ptr& base,
                             const chunk_map& offered,
                             const chunk_fetch& fetch,
-                            history_use history = history_use::kLeaveOut);
+                            history_use history = history_use::kSkip);
 
 }  // namespace samphire
 
--- a/src/libsamphire/distribution/instance_follower.cc
+++ b/src/libsamphire/distribution/instance_follower.cc
@@ -10,12 +10,12 @@
                                      config_peer_source& peers,
                                      metrics& metrics,
                                      const follower_limits& limits,
-                                     on_instances slot)
+                                     instances_callback callback)
     : store_(store),
       peers_(peers),
       metrics_(metrics),
       limits_(limits),
-      slot_(std::move(slot)) {}
+      callback_(std::move(callback)) {}
 
 instance_follower::~instance_follower() {
   Stop();
@@ -30,12 +30,13 @@
 }
 
 void instance_follower::SetWatching(bool watching) {
-  // Told at every tick: only a change is worth a read of the list.
+  // Called at every tick; only a change of the role is worth a read of the
+  // list.
   if (watching_.exchange(watching) != watching)
     thread_.Wake();
 }
 
-std::optional<instance_list> instance_follower::Answer(
+std::optional<instance_list> instance_follower::ListIfChanged(
     const std::string& known) const {
   std::lock_guard guard(lock_);
   if (list_.digest == known)
@@ -43,13 +44,13 @@
   return list_;
 }
 
-// An entry that no peer answers, such as the first one of a fleet, reads the
-// platform's list itself.
+// An entry that gets no response from a peer, such as the first one of a fleet,
+// reads the platform's list itself.
 duration instance_follower::Step() {
-  if (watching_ || !AskPeer())
+  if (watching_ || !QueryPeer())
     ReadPlatform();
-  return watching_ ? limits_.watcher_instances_every
-                   : limits_.peer_instances_every;
+  return watching_ ? limits_.watcher_instances_interval
+                   : limits_.peer_instances_interval;
 }
 
 bool instance_follower::ReadPlatform() {
@@ -59,11 +60,11 @@
                    fmt::format("reason=\"{}\"", NameOf(read.error().code)));
     return false;
   }
-  Take(MakeInstanceList(std::move(read.value())));
+  AcceptList(MakeInstanceList(std::move(read.value())));
   return true;
 }
 
-bool instance_follower::AskPeer() {
+bool instance_follower::QueryPeer() {
   const auto peers = peers_.Peers();
   if (peers.empty())
     return false;
@@ -72,20 +73,20 @@
     std::lock_guard guard(lock_);
     known = list_.digest;
   }
-  auto told = peers_.Instances(peers[turn_++ % peers.size()], known);
-  if (!told) {
+  auto response = peers_.Instances(peers[next_peer_++ % peers.size()], known);
+  if (!response) {
     metrics_.Count("instance_list_failures_total",
-                   fmt::format("reason=\"{}\"", NameOf(told.error().code)));
+                   fmt::format("reason=\"{}\"", NameOf(response.error().code)));
     return false;
   }
-  if (told.value())
-    Take(*told.value());
+  if (response.value())
+    AcceptList(*response.value());
   return true;
 }
 
-// A list of nobody at all is a platform that lost its state or a peer that has
-// none yet. Taken for true it would make every instance look gone at once.
-void instance_follower::Take(const instance_list& list) {
+// An empty list means that the platform lost its state or that a peer has no
+// list yet. Accepting it would make every instance look gone at once.
+void instance_follower::AcceptList(const instance_list& list) {
   if (list.instances.empty()) {
     metrics_.Count("instance_list_failures_total", "reason=\"empty\"");
     return;
@@ -96,7 +97,7 @@
       return;
     list_ = list;
   }
-  slot_(list.instances);
+  callback_(list.instances);
 }
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/instance_follower.h
+++ b/src/libsamphire/distribution/instance_follower.h
@@ -13,46 +13,54 @@
 
 namespace samphire {
 
-// Keeps the platform's instance list: watchers read it there, everyone else
-// asks a peer, who answers only if it changed.
+// Keeps a copy of the platform's instance list: watchers read it from the
+// platform, all other entries request it from a peer, which sends it only if it
+// changed. Runs one thread. Start and Stop are called by the owner; SetWatching
+// and ListIfChanged may be called from any thread.
 class instance_follower {
  public:
-  // Told the list each time that it differs from the one before.
-  using on_instances =
+  // Called on that thread, without any lock held, with each list that differs
+  // from the previous one.
+  using instances_callback =
       std::function<void(const std::vector<instance_info>& instances)>;
 
   instance_follower(object_store& store,
                     config_peer_source& peers,
                     metrics& metrics,
                     const follower_limits& limits,
-                    on_instances slot);
+                    instances_callback callback);
   ~instance_follower();
 
+  // Starts the thread; Stop returns when the step in progress has ended.
   void Start();
   void Stop();
+  // Sets whether this entry reads the list from the platform.
   void SetWatching(bool watching);
 
-  // Answers a peer: nothing if its list has the digest `known`.
-  std::optional<instance_list> Answer(const std::string& known) const;
+  // Serves a peer's request: returns the list, or no value if its digest is
+  // `known`.
+  std::optional<instance_list> ListIfChanged(const std::string& known) const;
 
-  // One step of the thread; returns how long to wait before the next.
+  // Runs one iteration of the thread and returns the delay until the next one.
   duration Step();
 
  private:
   bool ReadPlatform();
-  bool AskPeer();
-  void Take(const instance_list& list);
+  bool QueryPeer();
+  void AcceptList(const instance_list& list);
 
   object_store& store_;
   config_peer_source& peers_;
   metrics& metrics_;
   const follower_limits limits_;
-  const on_instances slot_;
+  const instances_callback callback_;
   std::atomic<bool> watching_{false};
+  // Protects list_.
   mutable std::mutex lock_;
   instance_list list_;
-  // Which peer is asked next, so that one that is behind doesn't stay ours.
-  std::size_t turn_ = 0;
+  // Index of the peer that is queried next. Peers take turns, so that one with
+  // an outdated list isn't queried every time.
+  std::size_t next_peer_ = 0;
   stoppable_thread thread_;
 };
 
--- a/src/libsamphire/distribution/instance_list.h
+++ b/src/libsamphire/distribution/instance_list.h
@@ -8,13 +8,15 @@
 
 namespace samphire {
 
-// The platform's instance list as last read, by this entry or a peer.
+// The platform's instance list as last read by this entry or by a peer.
 struct instance_list {
   std::vector<instance_info> instances;
+  // Digest of the sorted instances, see ContentDigest.
   std::string digest;
 };
 
-// The list with its digest; the order of the instances makes no difference.
+// Sorts the instances by name and adds the digest, which therefore doesn't
+// depend on their order.
 instance_list MakeInstanceList(std::vector<instance_info> instances);
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/line_tree.cc
+++ b/src/libsamphire/distribution/line_tree.cc
@@ -11,16 +11,20 @@
 
 namespace {
 
-// 64 children of 53 bytes make an inner chunk of 3.4 kB: about as much as the
-// leaf below it, which is where bytes per change are least.
+// Hash bits per level of the tree. 64 children of 53 bytes make an inner chunk
+// of 3.4 kB: about as much as the leaf below it, which minimizes the bytes per
+// change.
 constexpr unsigned kFanOutBits = 6;
+// Bounds the bits of a tree, and so its depth.
 constexpr unsigned kMaxBits = 24;
-// A leaf of 64 to 512 lines is 2 to 16 kB of client blocks. Smaller leaves
-// would cost an entry's first load more calls, larger ones each change more
-// bytes. The range is wide so that a count that wavers doesn't rebuild all.
-constexpr std::size_t kFewestPerLeaf = 64;
-constexpr std::size_t kUsualPerLeaf = 256;
-constexpr std::size_t kMostPerLeaf = 512;
+// Bounds of the average number of lines per leaf. A leaf of 64 to 512 lines is
+// 2 to 16 kB of client blocks. Smaller leaves would cost an entry's first load
+// more calls, larger ones each change more bytes. The range is wide so that a
+// fluctuating number of lines doesn't rebuild the whole tree.
+constexpr std::size_t kMinLinesPerLeaf = 64;
+constexpr std::size_t kTargetLinesPerLeaf = 256;
+constexpr std::size_t kMaxLinesPerLeaf = 512;
+// Width of keyed_line::hash.
 constexpr unsigned kHashBits = 64;
 
 class tree_builder {
@@ -28,7 +32,8 @@
   tree_builder(const chunk_map& base, std::uint64_t salt)
       : base_(base), salt_(salt) {}
 
-  // The chunk of lines that share all bits above the `bits` lowest chosen.
+  // Builds the subtree of `lines`, which share the `used` topmost bits of their
+  // hashes and are distributed by the next `bits`, and returns its ref.
   std::string Build(std::span<keyed_line> lines, unsigned used, unsigned bits) {
     return bits == 0 ? Leaf(lines) : Inner(lines, used, bits);
   }
@@ -86,13 +91,13 @@
   return {hash, std::move(key)};
 }
 
-unsigned ChooseBits(std::size_t count, unsigned present) {
-  const std::size_t per_leaf = count >> present;
-  const bool too_few = present > 0 && per_leaf < kFewestPerLeaf;
-  if (!too_few && per_leaf <= kMostPerLeaf)
-    return present;
+unsigned ChooseBits(std::size_t count, unsigned current) {
+  const std::size_t per_leaf = count >> current;
+  const bool too_few = current > 0 && per_leaf < kMinLinesPerLeaf;
+  if (!too_few && per_leaf <= kMaxLinesPerLeaf)
+    return current;
   unsigned bits = 0;
-  while (bits < kMaxBits && count >> bits > kUsualPerLeaf)
+  while (bits < kMaxBits && count >> bits > kTargetLinesPerLeaf)
     ++bits;
   return bits;
 }
--- a/src/libsamphire/distribution/peer_config.h
+++ b/src/libsamphire/distribution/peer_config.h
@@ -8,14 +8,15 @@
 
 namespace samphire {
 
-// What an entry tells its peers of its configuration.
+// What an entry announces to its peers about its configuration.
 struct peer_config {
-  // 0: it has none.
+  // Version in force; 0 if there is none.
   std::uint64_t version = 0;
-  // Empty if it was not told.
+  // Digest of the root; empty if it wasn't announced.
   std::string digest;
-  // How long ago it was confirmed that nothing newer was in force. Without it
-  // two entries cut off together would confirm each other for ever.
+  // How long ago it was last confirmed that no newer version was in force.
+  // Without this age, two entries that are cut off together would confirm each
+  // other forever.
   milliseconds confirmed_age{0};
 };
 
--- a/src/libsamphire/distribution/publish_options.cc
+++ b/src/libsamphire/distribution/publish_options.cc
@@ -9,10 +9,12 @@
 
 namespace {
 
-constexpr int kFirstPauseMs = 20;
-// Eight attempts wait about two seconds in all: an operator waits for it, and
-// a longer outage is better told than waited out.
-constexpr int kLongestPauseMs = 500;
+// Bound of the first pause; it doubles with each attempt.
+constexpr int kInitialBackoffMs = 20;
+// Bounds one pause. Eight attempts wait about two seconds in all, while an
+// operator waits for the result; a longer outage is better reported than waited
+// out.
+constexpr int kMaxBackoffMs = 500;
 
 }  // namespace
 
@@ -20,7 +22,7 @@
   publish_options options;
   options.pause = [](int n) {
     const int bound =
-        std::min(kFirstPauseMs << std::min(n, 10), kLongestPauseMs);
+        std::min(kInitialBackoffMs << std::min(n, 10), kMaxBackoffMs);
     std::random_device random;
     std::uniform_int_distribution<int> wait(bound / 2, bound);
     std::this_thread::sleep_for(std::chrono::milliseconds(wait(random)));
--- a/src/libsamphire/distribution/publish_options.h
+++ b/src/libsamphire/distribution/publish_options.h
@@ -6,20 +6,23 @@
 
 namespace samphire {
 
-// How a publisher goes about its writes.
+// Retention and retry policy of a publisher.
 struct publish_options {
-  // How many versions' chunks are kept, so that an entry that is loading one
-  // while others follow on it can finish: at a change every 4 s, two minutes.
+  // Number of versions whose chunks are retained, so that an entry that is
+  // loading one while newer ones follow can finish: at a change every 4 s, two
+  // minutes.
   std::uint64_t retained = 32;
-  // How often a write of unknown outcome is read back or tried again.
+  // Number of attempts for a write that failed or whose outcome is unknown.
   int attempts = 8;
-  // Waits before attempt `n`; backs off with jitter.
+  // Blocks after failed attempt `n` (counted from 0), with exponential backoff
+  // and jitter.
   std::function<void(int n)> pause;
-  // A number that no other attempt in the fleet has.
+  // Returns a number that no other attempt in the fleet uses.
   std::function<std::uint64_t()> nonce;
 };
 
-// Waits with jittered back-off, and numbers from the machine's random source.
+// Returns options with a jittered backoff, and with numbers from the machine's
+// random source.
 publish_options DefaultPublishOptions();
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/root_commit.cc
+++ b/src/libsamphire/distribution/root_commit.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-// What a refused version check means: ours came first and its answer was
-// lost, or a rival's did.
-result<void> JudgeConflict(object_store& store,
-                           const change_finder& holds_change) {
-  BOOST_OUTCOME_TRY(present, store.Get(kConfigRootKey));
-  BOOST_OUTCOME_TRY(holds, holds_change(present.value));
+// Determines why a conditional write was refused: either an earlier attempt of
+// this change succeeded and its response was lost, or another change was
+// accepted first.
+result<void> ResolveConflict(object_store& store,
+                             const change_predicate& contains_change) {
+  BOOST_OUTCOME_TRY(current, store.Get(kConfigRootKey));
+  BOOST_OUTCOME_TRY(holds, contains_change(current.value));
   if (holds)
     return Success();
   return MakeError(result_code::kVersionConflict,
@@ -25,15 +26,15 @@
 
 }  // namespace
 
-// The write is conditional, so repeating it is what settles a lost answer: it
-// takes effect now, or its refusal says that the root has moved on, and then
-// the root's history tells whose change moved it. Merely reading back would
-// not do: while the root is unchanged, the first write may still be under way
-// and take effect after the operator was told that it had not.
+// The write is conditional, so repeating it resolves a lost response: either it
+// takes effect now, or its refusal shows that the root has changed, and then
+// the root's history tells whose change that was. Merely reading the root back
+// would not suffice: while the root is unchanged, the first write may still be
+// in flight and take effect after the operator was told that it had not.
 result<void> CommitRoot(object_store& store,
                         const std::string& text,
                         std::uint64_t expected,
-                        const change_finder& holds_change,
+                        const change_predicate& contains_change,
                         const publish_options& options,
                         metrics& metrics) {
   bool in_doubt = false;
@@ -43,12 +44,12 @@
       return Success();
     auto why = put.error();
     if (why.code == result_code::kStoreConflict) {
-      auto judged = JudgeConflict(store, holds_change);
-      if (judged || !IsTransient(judged.error().code))
-        return judged;
-      // The root moved, and by whom can't be read at the moment.
+      auto resolved = ResolveConflict(store, contains_change);
+      if (resolved || !IsTransient(resolved.error().code))
+        return resolved;
+      // The root has changed, but who changed it can't be read at the moment.
       in_doubt = true;
-      why = judged.error();
+      why = resolved.error();
     } else if (!IsTransient(why.code)) {
       return why;
     }
@@ -58,7 +59,7 @@
   }
   return MakeError(in_doubt ? result_code::kApplyOutcomeUnknown
                             : result_code::kStoreUnreachable,
-                   "the platform did not answer");
+                   "the platform did not respond to any attempt");
 }
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/root_commit.h
+++ b/src/libsamphire/distribution/root_commit.h
@@ -12,18 +12,22 @@
 
 namespace samphire {
 
-// Whether the root `text` is of a history that holds the change, so that the
-// change was accepted.
-using change_finder = std::function<result<bool>(const std::string& text)>;
+// Returns whether the history of the root `text` contains the change, so that
+// the change was accepted.
+using change_predicate = std::function<result<bool>(const std::string& text)>;
 
-// Writes `text` as the new root where the object has the version `expected`,
-// and finds out what came of it when an answer is lost. kVersionConflict: it
-// is surely not in force. kStoreUnreachable: it was surely never sent.
-// kApplyOutcomeUnknown: it could not be found out.
+// Writes `text` as the new root if the stored object has the version
+// `expected`, and determines the outcome when a response is lost. Blocks for
+// the time of its attempts.
+//
+// kVersionConflict: the change is certainly not in force. kStoreUnreachable: no
+// write was sent, so it isn't in force either. kApplyOutcomeUnknown: the
+// outcome couldn't be determined. Other errors of the store are returned as
+// they are.
 result<void> CommitRoot(object_store& store,
                         const std::string& text,
                         std::uint64_t expected,
-                        const change_finder& holds_change,
+                        const change_predicate& contains_change,
                         const publish_options& options,
                         metrics& metrics);
 
--- a/src/libsamphire/distribution/root_verdict.h
+++ b/src/libsamphire/distribution/root_verdict.h
@@ -5,7 +5,8 @@
 
 namespace samphire {
 
-// How a root that was seen compares to what an entry has in force.
+// How a root, or a version announced by a peer, compares to the one that an
+// entry has in force. kDiffers: the same version with another digest.
 enum class root_verdict { kCurrent, kNewer, kOlder, kDiffers };
 
 inline constexpr enum_names<root_verdict, 4> kRootVerdictNames{{
--- a/src/libsamphire/distribution/tree_ref.h
+++ b/src/libsamphire/distribution/tree_ref.h
@@ -5,8 +5,8 @@
 
 namespace samphire {
 
-// A tree of chunks: its top, and how many bits of a line's hash choose the
-// leaf. With 0 bits the top is the only leaf.
+// Refers to a tree of chunks: the ref of its top chunk, and how many bits of a
+// line's hash determine the leaf. With 0 bits the top chunk is the only leaf.
 struct tree_ref {
   std::string ref;
   unsigned bits = 0;
--- a/src/libsamphire/distribution/tree_ref_json.h
+++ b/src/libsamphire/distribution/tree_ref_json.h
@@ -9,8 +9,10 @@
 
 namespace samphire {
 
+// Returns the tree as a JSON object.
 std::string WriteTreeRef(const tree_ref& tree);
-// Throws a Poco exception if the member `name` is not a tree.
+// Reads the member `name` of `json`; throws a Poco exception if it isn't a
+// tree.
 tree_ref ReadTreeRef(const Poco::JSON::Object& json, const std::string& name);
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/watcher_choice.h
+++ b/src/libsamphire/distribution/watcher_choice.h
@@ -6,11 +6,13 @@
 
 namespace samphire {
 
+// Number of entries of each region that watch the platform.
 inline constexpr std::size_t kWatchersPerRegion = 3;
 
-// Whether `self` is among the `count` of a region's members that hold the
-// watch. Members that agree on who is alive agree on who watches; while they
-// don't, there are a few watchers more or less for a moment.
+// Returns whether `self` is among the `count` members of a region that watch
+// the platform. Members with the same view of who is alive agree on the
+// watchers; while their views differ, there are temporarily a few watchers more
+// or less.
 bool IsWatcher(const std::string& self,
                const std::vector<std::string>& members,
                std::size_t count = kWatchersPerRegion);
--- a/src/libsamphire/distribution/witness_check.cc
+++ b/src/libsamphire/distribution/witness_check.cc
@@ -29,9 +29,9 @@
   }
 }
 
-// How long and where reservations are kept decides whether a repeat of a
-// claim is recognised, just as the class itself does: a shorter retention
-// would let a doubled claim be paid although no class was touched.
+// Retention and sharding of reservations determine whether a repeated claim is
+// recognised, just as the class itself does: with a shorter retention a
+// duplicate claim could be paid although no class was changed.
 bool SameLedgerLimits(const limits& a, const limits& b) {
   return a.ledger_retention == b.ledger_retention &&
          a.ledger_shards == b.ledger_shards;
@@ -39,11 +39,11 @@
 
 }  // namespace
 
-// Judged by the old and the new declaration alike: a class can't be altered by
-// taking its mark away in the same change, nor slip in unseen.
-std::vector<std::string> WitnessedChanges(const declaration& present,
+// Compares the witnessed classes of both declarations: a class can't be altered
+// by removing its mark in the same change, nor added without a witness.
+std::vector<std::string> WitnessedChanges(const declaration& current,
                                           const declaration& wanted) {
-  const auto before = WitnessedOf(present);
+  const auto before = WitnessedOf(current);
   const auto after = WitnessedOf(wanted);
   std::vector<std::string> changed;
   AddDifferences(before, after, changed);
@@ -51,7 +51,7 @@
     if (!before.contains(name))
       changed.push_back(name);
   }
-  if (!before.empty() && !SameLedgerLimits(present.limits, wanted.limits))
+  if (!before.empty() && !SameLedgerLimits(current.limits, wanted.limits))
     changed.emplace_back("limits/ledger");
   return changed;
 }
--- a/src/libsamphire/distribution/witness_check.h
+++ b/src/libsamphire/distribution/witness_check.h
@@ -8,10 +8,10 @@
 
 namespace samphire {
 
-// The witnessed request classes ("SERVICE/CLASS") that differ between the two
-// declarations, and the limits that bear on them. Empty: no second operator
-// is needed.
-std::vector<std::string> WitnessedChanges(const declaration& present,
+// Returns the witnessed request classes ("SERVICE/CLASS") that differ between
+// the two declarations, and "limits/ledger" if the ledger limits that affect
+// them differ. Empty if no second operator is needed.
+std::vector<std::string> WitnessedChanges(const declaration& current,
                                           const declaration& wanted);
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/entry_node_status.cc
+++ b/src/libsamphire/gateway/entry_node_status.cc
@@ -55,7 +55,7 @@
         status.borrowed, status.free, status.in_flight, status.headroom,
         status.ejected.size());
   }
-  const auto told = follower_.Tell();
+  const auto told = follower_.AdvertisedConfig();
   return fmt::format(
       R"({{"instance":{},"region":{},"leaving":{},"config_version":{},)"
       R"("config_age_ms":{},"platform_failing":{},)"
--- a/src/libsamphire/gateway/entry_node_ticks.cc
+++ b/src/libsamphire/gateway/entry_node_ticks.cc
@@ -84,7 +84,7 @@
   const bool watching = membership_.IsWatcher(kWatchers);
   follower_.SetWatching(watching);
   instances_.SetWatching(watching);
-  const auto told = follower_.Tell();
+  const auto told = follower_.AdvertisedConfig();
   membership_.SetSelf({.config_version = told.version,
                        .watching = static_cast<std::uint8_t>(watching),
                        .loads = reporter_.Loads()},
@@ -101,7 +101,7 @@
   static thread_local std::mt19937 random(std::random_device{}());
   const auto& peer = peers[std::uniform_int_distribution<std::size_t>(
       0, peers.size() - 1)(random)];
-  if (const auto config = peer_caller_.Ask(peer))
+  if (const auto config = peer_caller_.QueryConfig(peer))
     follower_.OnPeerVersion(peer, config.value());
 }
 
@@ -150,7 +150,7 @@
 }
 
 void entry_node::OnPeerVersion(std::uint64_t version, const std::string& peer) {
-  if (version <= follower_.Tell().version)
+  if (version <= follower_.AdvertisedConfig().version)
     return;
   follower_.OnPeerVersion(
       peer, {.version = version, .confirmed_age = std::chrono::hours(24)});
--- a/src/libsamphire/gateway/peer_call_handler.cc
+++ b/src/libsamphire/gateway/peer_call_handler.cc
@@ -15,19 +15,20 @@
   peer_call_context& context;
 
   result<std::string> operator()(const config_ask& /*call*/) const {
-    return EncodeBinary(context.configuration.Tell());
+    return EncodeBinary(context.configuration.AdvertisedConfig());
   }
   result<std::string> operator()(const config_pull& call) const {
-    BOOST_OUTCOME_TRY(update,
-                      context.configuration.shelf().Pull(call.have_version));
+    BOOST_OUTCOME_TRY(
+        update, context.configuration.cached_images().Pull(call.have_version));
     return EncodeBinary(update);
   }
   result<std::string> operator()(const chunk_ask& call) const {
-    BOOST_OUTCOME_TRY(texts, context.configuration.shelf().Chunks(call.refs));
+    BOOST_OUTCOME_TRY(texts,
+                      context.configuration.cached_images().Chunks(call.refs));
     return EncodeBinary(texts);
   }
   result<std::string> operator()(const instances_ask& call) const {
-    return EncodeBinary(context.instances.Answer(call.known));
+    return EncodeBinary(context.instances.ListIfChanged(call.known));
   }
 };
 
--- a/src/libsamphire/gateway/peer_caller.cc
+++ b/src/libsamphire/gateway/peer_caller.cc
@@ -23,7 +23,7 @@
   return peers_();
 }
 
-result<peer_config> peer_caller::Ask(const std::string& peer) {
+result<peer_config> peer_caller::QueryConfig(const std::string& peer) {
   return CallFor<peer_config>(peer, config_ask{});
 }
 
--- a/src/libsamphire/gateway/peer_caller.h
+++ b/src/libsamphire/gateway/peer_caller.h
@@ -22,7 +22,7 @@
   peer_caller(connection_pool& pool, peer_signer& signer, peer_list peers);
 
   std::vector<std::string> Peers() override;
-  result<peer_config> Ask(const std::string& peer) override;
+  result<peer_config> QueryConfig(const std::string& peer) override;
   result<config_update> Pull(const std::string& peer,
                              std::uint64_t have_version) override;
   result<std::vector<std::string>> Chunks(
--- a/tests/distribution/config_follower_test.cc
+++ b/tests/distribution/config_follower_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Peers that answer from the shelves of other followers.
+// Peers that respond from the cached images of other followers.
 class fake_peers final : public config_peer_source {
  public:
   std::map<std::string, config_follower*> entries;
@@ -25,17 +25,17 @@
       names.push_back(name);
     return names;
   }
-  result<peer_config> Ask(const std::string& peer) override {
-    return Find(peer)->Tell();
+  result<peer_config> QueryConfig(const std::string& peer) override {
+    return Find(peer)->AdvertisedConfig();
   }
   result<config_update> Pull(const std::string& peer,
                              std::uint64_t have) override {
-    return Find(peer)->shelf().Pull(have);
+    return Find(peer)->cached_images().Pull(have);
   }
   result<std::vector<std::string>> Chunks(
       const std::string& peer,
       const std::vector<std::string>& refs) override {
-    return Find(peer)->shelf().Chunks(refs);
+    return Find(peer)->cached_images().Chunks(refs);
   }
   result<std::optional<instance_list>> Instances(
       const std::string& /*peer*/,
@@ -64,9 +64,11 @@
   std::unique_ptr<config_follower> NewEntry() {
     return std::make_unique<config_follower>(
         store, peers, clock, registry, follower_limits(),
-        [this](const image_ptr& image) { told.push_back(image->version()); });
+        [this](const image_ptr& image) {
+          notified.push_back(image->version());
+        });
   }
-  // Runs the entry for `by`, second by second.
+  // Steps the entry for `by`, one second of the manual clock at a time.
   void Run(config_follower& entry, std::chrono::seconds by) {
     for (int s = 0; s < by.count(); ++s) {
       for (int n = 0; n < 4; ++n)
@@ -76,14 +78,15 @@
   }
 
   fake_peers peers;
-  std::vector<std::uint64_t> told;
+  std::vector<std::uint64_t> notified;
 };
 
 }  // namespace
 
-TEST_CASE("a start in an outage takes the highest version of the peers") {
-  // The platform is down while an instance is replaced. One peer was cut off
-  // for a while and is a version behind; the new entry must not follow it.
+TEST_CASE("a start during an outage loads the highest version of the peers") {
+  // The platform is down while an instance is replaced, and one peer was
+  // disconnected for a while and is a version behind. The new entry must not
+  // adopt the older version.
   follower_rig rig;
   auto behind = rig.NewEntry();
   rig.Run(*behind, 1s);
@@ -98,11 +101,12 @@
   rig.Run(*entry, 10s);
   REQUIRE(entry->image());
   CHECK(entry->image()->version() == 2);
-  // It knows no better how fresh that is than the peer that told it.
+  // A version loaded from a peer is no fresher than the peer's own
+  // confirmation.
   CHECK(entry->confirmed_age() >= ahead->confirmed_age());
 }
 
-TEST_CASE("a start in an outage without peers serves nothing") {
+TEST_CASE("a start during an outage without peers loads no configuration") {
   follower_rig rig;
   rig.store.SetDown(true);
   auto entry = rig.NewEntry();
@@ -115,8 +119,9 @@
 }
 
 TEST_CASE("a damaged chunk leaves the old configuration in force") {
-  // A chunk of a new version is damaged in the platform. The entry goes on
-  // with what it has, shows its age, and recovers when the chunk does.
+  // A chunk of a new version is damaged in the platform. The entry keeps the
+  // version that it has, its confirmation age grows, and it recovers when the
+  // chunk does.
   follower_rig rig;
   auto entry = rig.NewEntry();
   rig.Run(*entry, 1s);
@@ -135,10 +140,10 @@
   REQUIRE(rig.store.Put(key, chunk.value, damaged.version));
   rig.Run(*entry, 6s);
   CHECK(entry->image()->version() == 2);
-  CHECK(rig.told == std::vector<std::uint64_t>{1, 2});
+  CHECK(rig.notified == std::vector<std::uint64_t>{1, 2});
 }
 
-TEST_CASE("an entry that does not watch learns by gossip alone") {
+TEST_CASE("an entry that does not watch gets changes by gossip alone") {
   follower_rig rig;
   auto watcher = rig.NewEntry();
   auto entry = rig.NewEntry();
@@ -150,17 +155,17 @@
   watcher->WatchStep();
   rig.Run(*watcher, 1s);
   const int reads = rig.store.reads();
-  entry->OnPeerVersion("w", watcher->Tell());
+  entry->OnPeerVersion("w", watcher->AdvertisedConfig());
   rig.Run(*entry, 1s);
   CHECK(entry->image()->version() == 2);
   CHECK(rig.store.reads() == reads);
-  entry->OnPeerVersion("w", watcher->Tell());
+  entry->OnPeerVersion("w", watcher->AdvertisedConfig());
   CHECK(entry->confirmed_age() <= watcher->confirmed_age() + 1ms);
 }
 
-TEST_CASE("a peer that answers nonsense costs a detour, not the version") {
-  // A peer's memory or a message is damaged. The entry must notice and get
-  // the version from the platform instead.
+TEST_CASE("a version that a peer can't supply is loaded from the platform") {
+  // A peer announces a version that it can't supply. The entry must detect this
+  // and load the version from the platform instead.
   follower_rig rig;
   auto watcher = rig.NewEntry();
   rig.Run(*watcher, 1s);
@@ -173,9 +178,9 @@
   CHECK(entry->image()->version() == 2);
 }
 
-TEST_CASE("a peer that fails is asked once in a first load") {
-  // The nearest peer hangs while an entry starts. Asked for every piece anew,
-  // its timeouts would keep the entry from serving for minutes.
+TEST_CASE("a peer that fails is queried only once in a first load") {
+  // The nearest peer fails while an entry starts. If it were queried again for
+  // every chunk, its timeouts would delay the start by minutes.
   follower_rig rig;
   auto empty = rig.NewEntry();
   rig.peers.entries = {{"empty", empty.get()}};
@@ -185,9 +190,10 @@
   CHECK(rig.peers.calls == 1);
 }
 
-TEST_CASE("the watch finds changes again after it was cut") {
-  // The platform goes down and comes back while a change was applied through
-  // another entry. A watch that went on from where it was would miss it.
+TEST_CASE("the watch detects changes again after an interruption") {
+  // The platform goes down, and a change was applied through another entry by
+  // the time it recovers. A watch that resumed at its old position would miss
+  // the change.
   follower_rig rig;
   auto entry = rig.NewEntry();
   entry->SetWatching(true);
@@ -203,22 +209,22 @@
   CHECK(entry->image()->version() == 2);
 }
 
-TEST_CASE("the threads follow changes by themselves and stop") {
+TEST_CASE("the threads follow changes and stop") {
   follower_rig rig;
   std::mutex lock;
-  std::condition_variable told;
+  std::condition_variable notified;
   std::uint64_t version = 0;
   config_follower entry(rig.store, rig.peers, rig.clock, rig.registry, {},
                         [&](const image_ptr& image) {
                           std::lock_guard guard(lock);
                           version = image->version();
-                          told.notify_all();
+                          notified.notify_all();
                         });
   entry.SetWatching(true);
   entry.Start();
   const auto wait_for = [&](std::uint64_t wanted) {
     std::unique_lock guard(lock);
-    told.wait(guard, [&] { return version == wanted; });
+    notified.wait(guard, [&] { return version == wanted; });
   };
   wait_for(1);
   rig.Apply(2);
@@ -226,7 +232,8 @@
   entry.Stop();
 }
 
-TEST_CASE("few members of a region watch, and a change moves one of them") {
+TEST_CASE(
+    "few members of a region watch, and a leaving one changes one watcher") {
   std::vector<std::string> members;
   members.reserve(100);
   for (int n = 0; n < 100; ++n)
@@ -248,37 +255,37 @@
   CHECK(std::count(after.begin(), after.end(), before[2]) == 1);
 }
 
-TEST_CASE("the instance list comes from peers, and only when it changed") {
-  // Were every entry to poll the platform, its calls would grow with the
-  // fleet. A peer that knows nothing yet must not make all instances look gone.
+TEST_CASE("the instance list comes from peers, and only if it changed") {
+  // If every entry polled the platform, its calls would grow with the fleet. A
+  // peer that has no list yet must not make all instances look gone.
   follower_rig rig;
-  int told = 0;
+  int notified = 0;
   instance_follower entry(rig.store, rig.peers, rig.registry, {},
-                          [&](const auto& list) { told += !list.empty(); });
+                          [&](const auto& list) { notified += !list.empty(); });
   rig.store.SetInstances({{"e1", "entry", "", "r", "d"}});
   entry.Step();
-  CHECK(told == 1);
+  CHECK(notified == 1);
   rig.peers.entries = {{"p", nullptr}};
   rig.peers.list = MakeInstanceList({});
   entry.Step();
-  CHECK(told == 1);
+  CHECK(notified == 1);
   const int reads = rig.store.reads();
   rig.peers.list = MakeInstanceList({{"e2", "entry", "", "r", "d"}});
   entry.Step();
   entry.Step();
-  CHECK(told == 2);
+  CHECK(notified == 2);
   CHECK(rig.store.reads() == reads);
   rig.peers.list = std::nullopt;
   entry.Step();
   CHECK(rig.store.reads() == reads + 1);
-  CHECK(told == 3);
-  // An entry tells its role at every tick; only a change may cost a read.
-  const int quiet = rig.store.reads();
+  CHECK(notified == 3);
+  // An entry sets its role at every tick; only a change may cost a read.
+  const int reads_before = rig.store.reads();
   entry.Start();
   for (int n = 0; n < 1000; ++n)
     entry.SetWatching(true);
   entry.Stop();
-  CHECK(rig.store.reads() <= quiet + 20);
-  CHECK_FALSE(
-      entry.Answer(MakeInstanceList({{"e1", "entry", "", "r", "d"}}).digest));
+  CHECK(rig.store.reads() <= reads_before + 20);
+  CHECK_FALSE(entry.ListIfChanged(
+      MakeInstanceList({{"e1", "entry", "", "r", "d"}}).digest));
 }
--- a/tests/distribution/config_publisher_test.cc
+++ b/tests/distribution/config_publisher_test.cc
@@ -24,14 +24,14 @@
     const auto image = rig.LoadFresh().value();
     CHECK(AllLines(image->Assemble()) == AllLines(declared));
     CHECK(image->frame().client_blocks.empty());
-    CHECK(rig.first.Present().value()->digest() == image->digest());
+    CHECK(rig.first.Current().value()->digest() == image->digest());
   }
 }
 
-TEST_CASE("a lost request or answer neither loses nor doubles a change") {
-  // The connection to the platform breaks while an operator applies a file,
-  // once or several times, before or after a write took effect. An operator
-  // must not be told "refused" of a change that is in force a second later.
+TEST_CASE("a lost request or response neither loses nor duplicates a change") {
+  // The connection to the platform fails while an operator applies a file, once
+  // or several times, before or after a write took effect. An operator must not
+  // be told that a change was refused which is in force a second later.
   for (int lost = 1; lost <= 12; ++lost) {
     for (const bool took_effect : {true, false}) {
       distribution_rig rig;
@@ -45,14 +45,15 @@
       REQUIRE(applied);
       CHECK(applied.value().version == 1);
       CHECK(rig.LoadFresh().value()->History().size() == 1);
-      CHECK(rig.StrayChunks() == 0);
+      CHECK(rig.UnreferencedChunks() == 0);
     }
   }
 }
 
-TEST_CASE("an outcome that can't be found out is called unknown") {
-  // The answer to the decisive write is lost and the platform stays away. Only
-  // the history tells later; the same apply id settles it without doubling.
+TEST_CASE("an outcome that can't be determined is reported as unknown") {
+  // The response to the write of the root is lost and the platform stays
+  // unreachable. Only the history shows the outcome later; a retry with the
+  // same apply id resolves it without a second change.
   distribution_rig rig;
   REQUIRE(rig.first.Apply(Changed(1), {"id-1", "ana", {}}));
   rig.hooked.before_root = [&] { rig.store.LoseNextAnswers(100); };
@@ -63,9 +64,10 @@
   CHECK(rig.LoadFresh().value()->version() == 2);
 }
 
-TEST_CASE("a platform that is down refuses a change and keeps none of it") {
-  // The platform goes away in the middle of an apply. Nothing may be in force,
-  // and when it is back the chunks of the failed try must not stay for ever.
+TEST_CASE("an outage of the platform leaves nothing of a refused change") {
+  // The platform becomes unreachable in the middle of an apply. Nothing may be
+  // in force, and once it is back the chunks of the failed attempt must not
+  // stay forever.
   distribution_rig rig;
   REQUIRE(rig.first.Apply(Changed(1), {"id-1", "ana", {}}));
   rig.hooked.before_root = [&] { rig.store.SetDown(true); };
@@ -73,15 +75,15 @@
         result_code::kStoreUnreachable);
   rig.store.SetDown(false);
   CHECK(rig.LoadFresh().value()->version() == 1);
-  CHECK(rig.StrayChunks() > 0);
+  CHECK(rig.UnreferencedChunks() > 0);
   REQUIRE(rig.first.Apply(Changed(3), {"id-3", "ana", {}}));
-  CHECK(rig.StrayChunks() == 0);
+  CHECK(rig.UnreferencedChunks() == 0);
 }
 
-TEST_CASE("of two operators who race, one is refused and the other whole") {
-  // Both read version 1 and apply in the same moment through different
-  // entries. Were the slower one to win unseen, the faster one's change would
-  // vanish although it was accepted.
+TEST_CASE("of two concurrent changes one is refused and one accepted whole") {
+  // Both operators read version 1 and apply at the same moment through
+  // different entries. If the slower one overwrote the faster one, an accepted
+  // change would be lost.
   distribution_rig rig;
   REQUIRE(rig.first.Apply(Changed(1), {"id-1", "ana", {}}));
   rig.hooked.before_root = [&] {
@@ -92,12 +94,12 @@
   const auto image = rig.LoadFresh().value();
   CHECK(image->version() == 2);
   CHECK(image->root().change.operator_name == "bea");
-  CHECK(rig.StrayChunks() == 0);
+  CHECK(rig.UnreferencedChunks() == 0);
 }
 
 TEST_CASE("one change sent through two entries is accepted once") {
-  // An operator's tool gives up on a slow entry and asks another while the
-  // first is still at it. Both must tell of the same version.
+  // An operator's tool abandons a slow entry and retries through another while
+  // the first one is still working. Both must report the same version.
   distribution_rig rig;
   rig.hooked.before_root = [&] {
     REQUIRE(rig.second.Apply(Changed(1), {"id-1", "ana", {}}));
@@ -106,9 +108,9 @@
   CHECK(rig.LoadFresh().value()->History().size() == 1);
 }
 
-TEST_CASE("a declaration that no entry could read is not accepted") {
-  // A caller passes on what it did not check. Accepted, it would load nowhere
-  // and block every later change.
+TEST_CASE("a declaration that no entry could load is not accepted") {
+  // A caller passes on a declaration that it did not validate. If accepted, it
+  // could be loaded nowhere and would block every later change.
   distribution_rig rig;
   auto declared = Changed(1);
   declared.default_region = "nowhere";
@@ -128,9 +130,10 @@
   CHECK(rig.LoadFresh().value()->version() == 1);
 }
 
-TEST_CASE("old chunks go, but none of the last versions' chunks") {
-  // An entry is loading a version while newer ones are applied and chunks are
-  // cleaned up. It must be able to finish any version that is still kept.
+TEST_CASE("old chunks are collected, but none of the retained versions") {
+  // An entry is loading a version while newer ones are applied and old chunks
+  // are collected. It must be able to finish any version that is still
+  // retained.
   distribution_rig rig;
   std::vector<std::string> roots;
   for (int n = 0; n < 20; ++n) {
@@ -139,13 +142,13 @@
     roots.push_back(rig.store.Get(kConfigRootKey).value().value);
     for (int back = 0; back < std::min(n + 1, 4); ++back)
       REQUIRE(LoadImage(roots[n - back], nullptr, {}, rig.Fetch()));
-    REQUIRE(rig.StrayChunks() == 0);
+    REQUIRE(rig.UnreferencedChunks() == 0);
   }
   CHECK(rig.LoadFresh().value()->History().size() <= 5);
   CHECK_FALSE(LoadImage(roots[0], nullptr, {}, rig.Fetch()));
 }
 
-TEST_CASE("drains are applies of what is in force") {
+TEST_CASE("a drain is applied on top of the version in force") {
   distribution_rig rig;
   const auto declared = Changed(1);
   REQUIRE(rig.first.Apply(declared, {"id-1", "ana", {}}));
@@ -168,9 +171,9 @@
   CHECK(rig.first.RemoveDrain("d1", {"id-5", "ana", {}}).value().version == 3);
 }
 
-TEST_CASE("two drains declared in the same moment both come into force") {
-  // Two operators each take a region out for maintenance. Neither drain may be
-  // lost to the other's, or a site is switched off while work runs there.
+TEST_CASE("two drains declared at the same moment both come into force") {
+  // Two operators each drain a region for maintenance. If one drain overwrote
+  // the other, a site would be switched off while work runs there.
   distribution_rig rig;
   const auto declared = Changed(1);
   REQUIRE(rig.first.Apply(declared, {"id-1", "ana", {}}));
@@ -180,5 +183,5 @@
   REQUIRE(rig.first.AddDrain(TestDrain("a", declared), {"id-a", "ana", {}}));
   CHECK(rig.LoadFresh().value()->frame().drains.size() ==
         declared.drains.size() + 2);
-  CHECK(rig.StrayChunks() == 0);
+  CHECK(rig.UnreferencedChunks() == 0);
 }
--- a/tests/distribution/config_update_test.cc
+++ b/tests/distribution/config_update_test.cc
@@ -5,7 +5,7 @@
 #include <sstream>
 
 #include "distribution/distribution_rig.h"
-#include "distribution/image_shelf.h"
+#include "distribution/image_cache.h"
 
 using namespace samphire;
 
@@ -18,7 +18,7 @@
   return out.str().size();
 }
 
-// Applies two declarations and returns both images.
+// Applies two declarations and returns the images of both.
 std::pair<image_ptr, image_ptr> TwoImages(distribution_rig& rig,
                                           const declaration& one,
                                           const declaration& two) {
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("an update holds the change, not the configuration") {
+TEST_CASE("an update contains the change, not the whole configuration") {
   distribution_rig rig;
   const auto one = WithBlocks(Example("nivel-claro"), 20'000);
   auto two = one;
@@ -64,10 +64,10 @@
   CHECK(to->shared_frame() != nullptr);
 }
 
-TEST_CASE("an update that doesn't fit is made up for by whole chunks") {
+TEST_CASE("an update that doesn't apply is replaced by whole chunks") {
   // The peer's delta starts from a version that this entry never had, or the
-  // blocks grew so much that all leaves are new. What results must be the
-  // whole configuration or nothing, never a mixture.
+  // client blocks grew so much that all leaves are new. The result must be the
+  // complete configuration or nothing, never a mixture.
   distribution_rig rig;
   const auto one = WithBlocks(Example("nivel-claro"), 300);
   const auto [from, to] = TwoImages(rig, one, WithBlocks(one, 9000));
@@ -82,8 +82,8 @@
 }
 
 TEST_CASE("a damaged or missing chunk makes no image") {
-  // A chunk is overwritten, cut short or deleted in the platform. An entry
-  // that went by it would send callers to wrong regions without an error.
+  // A chunk is overwritten, truncated or deleted in the platform. An entry that
+  // used it would send callers to wrong regions without an error.
   distribution_rig rig;
   REQUIRE(rig.first.Apply(WithBlocks(Example("nivel-claro"), 2000),
                           {"id-1", "ana", {}}));
@@ -104,22 +104,22 @@
           result_code::kStoreCorrupt);
 }
 
-TEST_CASE("a peer answers with chunks of the versions that it held") {
+TEST_CASE("a peer serves chunks of the versions that it has cached") {
   distribution_rig rig;
   const auto one = Example("nivel-claro");
   const auto [from, to] = TwoImages(rig, one, WithBlocks(one, 50));
-  image_shelf shelf;
-  CHECK(shelf.Pull(0).error().code == result_code::kNoConfiguration);
-  shelf.Add(from);
-  shelf.Add(to);
-  shelf.Add(from);
-  CHECK(shelf.present() == to);
-  CHECK(shelf.Pull(1).value().root_text == to->root_text());
-  CHECK_FALSE(shelf.Pull(1).value().deltas.empty());
-  CHECK(shelf.Pull(7).value().deltas.empty());
-  CHECK(
-      shelf.Chunks({from->root().history, to->root().history}).value().size() ==
-      2);
-  CHECK(shelf.Chunks({MakeRef("00", 0)}).error().code ==
+  image_cache cached_images;
+  CHECK(cached_images.Pull(0).error().code == result_code::kNoConfiguration);
+  cached_images.Add(from);
+  cached_images.Add(to);
+  cached_images.Add(from);
+  CHECK(cached_images.current() == to);
+  CHECK(cached_images.Pull(1).value().root_text == to->root_text());
+  CHECK_FALSE(cached_images.Pull(1).value().deltas.empty());
+  CHECK(cached_images.Pull(7).value().deltas.empty());
+  CHECK(cached_images.Chunks({from->root().history, to->root().history})
+            .value()
+            .size() == 2);
+  CHECK(cached_images.Chunks({MakeRef("00", 0)}).error().code ==
         result_code::kStoreNotFound);
 }
--- a/tests/distribution/distribution_rig.h
+++ b/tests/distribution/distribution_rig.h
@@ -18,7 +18,7 @@
 
 namespace samphire {
 
-// The fake platform with a hook before each write of the root.
+// The fake platform with a hook that runs before a write of the root.
 class hooked_store final : public object_store {
  public:
   explicit hooked_store(fake_object_store& inner) : inner_(inner) {}
@@ -64,7 +64,8 @@
   return options;
 }
 
-// Two entries' publishers on one platform; the first goes through the hook.
+// The publishers of two entries on one platform; the first one writes through
+// the hook.
 struct distribution_rig {
   fake_object_store store;
   hooked_store hooked{store};
@@ -73,7 +74,7 @@
   config_publisher first{hooked, clock, registry, TestOptions(1'000'000)};
   config_publisher second{store, clock, registry, TestOptions(9'000'000)};
 
-  // What an entry that knows nothing loads from the platform.
+  // Loads the image in force as an entry does that has no image yet.
   result<image_ptr> LoadFresh() {
     const auto root = store.Get(kConfigRootKey);
     if (!root)
@@ -92,8 +93,9 @@
       return texts;
     };
   }
-  // How many chunks the platform holds that no version kept names.
-  std::size_t StrayChunks() {
+  // Returns the number of chunks in the platform that no retained version
+  // refers to.
+  std::size_t UnreferencedChunks() {
     std::set<std::string> named;
     if (const auto image = LoadFresh()) {
       for (const auto& [digest, chunk] : image.value()->chunks())
@@ -114,7 +116,8 @@
   }
 };
 
-// All lines of a declaration in order: equal if the declarations mean the same.
+// Returns all lines of a declaration, sorted: equal for declarations with the
+// same meaning.
 inline std::vector<std::string> AllLines(const declaration& declared) {
   std::vector<std::string> texts;
   for (auto& line : FrameLines(declared))
--- a/tests/distribution/follower_state_test.cc
+++ b/tests/distribution/follower_state_test.cc
@@ -14,7 +14,7 @@
   return std::holds_alternative<A>(state.Next(now));
 }
 
-follower_state With(std::uint64_t version, time_point confirmed) {
+follower_state StateWith(std::uint64_t version, time_point confirmed) {
   follower_state state({}, kStart);
   state.OnRoot(version, "d", confirmed);
   state.OnImage(version, "d", confirmed);
@@ -23,70 +23,75 @@
 
 }  // namespace
 
-TEST_CASE("at a start the platform's word counts, not the peers'") {
-  // An entry is replaced while its peers lag behind. Serving their version it
-  // would take an accepted change back for its callers.
+TEST_CASE("at a start the platform is authoritative, not the peers") {
+  // An entry is replaced while its peers are behind. If it served their
+  // version, it would take back an accepted change for its callers.
   follower_state state({}, kStart);
-  state.OnPeer("p", {7, "d", 0ms}, kStart);
+  state.OnPeerConfig("p", {7, "d", 0ms}, kStart);
   CHECK(NextIs<read_root>(state, kStart));
 }
 
-TEST_CASE("at a start in an outage the peers stand in, after a while") {
+TEST_CASE("at a start during an outage the peers are queried after a delay") {
   // The platform is down while an instance is replaced. Waiting for it would
-  // leave the new entry useless; a blip must not make it trust peers early.
+  // leave the new entry useless, but a short interruption must not make the
+  // entry use the peers' version early.
   follower_state state({}, kStart);
   state.OnPlatformError(kStart);
   CHECK(NextIs<wait_until>(state, kStart + 1ms));
   CHECK(NextIs<read_root>(state, kStart + 1499ms));
   for (int n = 0; n < 6; ++n)
     state.OnPlatformError(kStart + 1500ms);
-  CHECK(NextIs<ask_peers>(state, kStart + 1501ms));
+  CHECK(NextIs<query_peers>(state, kStart + 1501ms));
   state.OnLoadFailed(kStart + 1501ms);
   CHECK(NextIs<wait_until>(state, kStart + 1502ms));
 }
 
-TEST_CASE("what is in force never goes back") {
-  // The platform comes back from an old copy, or a peer that was cut off
-  // tells of what it had. Neither may undo an accepted change.
-  auto state = With(7, kStart);
+TEST_CASE("the version in force never decreases") {
+  // The platform is restored from an old copy, or a peer that was disconnected
+  // announces its old version. Neither may undo an accepted change.
+  auto state = StateWith(7, kStart);
   CHECK(state.OnRoot(6, "c", kStart + 1s) == root_verdict::kOlder);
   CHECK(state.OnRoot(7, "x", kStart + 1s) == root_verdict::kDiffers);
-  CHECK(state.OnPeer("p", {6, "c", 0ms}, kStart + 1s) == root_verdict::kOlder);
+  CHECK(state.OnPeerConfig("p", {6, "c", 0ms}, kStart + 1s) ==
+        root_verdict::kOlder);
   state.OnImage(6, "c", kStart + 1s);
-  CHECK(state.OnPeer("p", {7, "", 24h}, kStart + 1s) == root_verdict::kCurrent);
+  CHECK(state.OnPeerConfig("p", {7, "", 24h}, kStart + 1s) ==
+        root_verdict::kCurrent);
   CHECK(state.version() == 7);
   CHECK(state.confirmed_at() == kStart);
   CHECK(NextIs<wait_until>(state, kStart + 2s));
 }
 
-TEST_CASE("two entries cut off together can't keep each other young") {
-  // A region loses the platform and all other regions. Its entries gossip on;
-  // were the age not handed on, nobody would ever notice how old it all is.
-  auto one = With(7, kStart);
-  auto two = With(7, kStart);
+TEST_CASE("two disconnected entries can't refresh each other's confirmation") {
+  // A region loses the platform and all other regions, while its entries keep
+  // gossiping. If the confirmation age weren't passed on, nobody would ever
+  // notice how old the configuration is.
+  auto one = StateWith(7, kStart);
+  auto two = StateWith(7, kStart);
   for (int s = 1; s <= 60; ++s) {
     const auto now = kStart + std::chrono::seconds(s);
     const auto age = [&](const follower_state& state) {
       return std::chrono::ceil<milliseconds>(now - state.confirmed_at());
     };
-    one.OnPeer("two", {7, "d", age(two)}, now);
-    two.OnPeer("one", {7, "d", age(one)}, now);
+    one.OnPeerConfig("two", {7, "d", age(two)}, now);
+    two.OnPeerConfig("one", {7, "d", age(one)}, now);
   }
   CHECK(one.confirmed_at() == kStart);
-  one.OnPeer("three", {7, "d", 500ms}, kStart + 61s);
+  one.OnPeerConfig("three", {7, "d", 500ms}, kStart + 61s);
   CHECK(one.confirmed_at() == kStart + 60500ms);
 }
 
-TEST_CASE("a quiet watch confirms only the root that was read since") {
-  // A newer root was read and its chunks can't be loaded. The watch is quiet
-  // from then on, but what is in force is out of date and must not look fresh.
-  auto state = With(7, kStart);
-  state.OnQuietWatch(kStart + 4s);
+TEST_CASE("an unchanged watch confirms only the root that was read since") {
+  // A newer root was read and its chunks can't be loaded. The watch reports
+  // nothing from then on, but the version in force is out of date and must not
+  // appear fresh.
+  auto state = StateWith(7, kStart);
+  state.OnWatchUnchanged(kStart + 4s);
   CHECK(state.confirmed_at() == kStart + 4s);
   state.OnRootChanged();
-  state.OnQuietWatch(kStart + 5s);
+  state.OnWatchUnchanged(kStart + 5s);
   CHECK(state.OnRoot(8, "e", kStart + 6s) == root_verdict::kNewer);
-  state.OnQuietWatch(kStart + 7s);
+  state.OnWatchUnchanged(kStart + 7s);
   CHECK(state.confirmed_at() == kStart + 4s);
   state.OnLoadFailed(kStart + 7s);
   CHECK(NextIs<wait_until>(state, kStart + 7s));
@@ -95,15 +100,15 @@
   CHECK(state.confirmed_at() == kStart + 9s);
 }
 
-TEST_CASE("an entry that peers confirm leaves the platform alone") {
-  auto state = With(7, kStart);
+TEST_CASE("an entry that peers confirm doesn't query the platform") {
+  auto state = StateWith(7, kStart);
   for (int s = 1; s <= 120; ++s) {
     const auto now = kStart + std::chrono::seconds(s);
-    state.OnPeer("p", {7, "d", 4000ms}, now);
+    state.OnPeerConfig("p", {7, "d", 4000ms}, now);
     REQUIRE(NextIs<wait_until>(state, now));
   }
   CHECK(NextIs<read_root>(state, kStart + 140s));
-  CHECK(state.OnPeer("p", {8, "e", 0ms}, kStart + 121s) ==
+  CHECK(state.OnPeerConfig("p", {8, "e", 0ms}, kStart + 121s) ==
         root_verdict::kNewer);
   CHECK(NextIs<pull_from_peer>(state, kStart + 121s));
   state.OnLoadFailed(kStart + 121s);
--- a/tests/distribution/publisher_property_test.cc
+++ b/tests/distribution/publisher_property_test.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Random changes by two entries under faults, against what was told of them.
+// Applies random changes through two entries under injected faults and compares
+// the result with what the operators were told.
 class publisher_run {
  public:
   explicit publisher_run(std::uint32_t seed) : random_(seed) {}
@@ -36,14 +37,14 @@
     rig_.store.SetDown(false);
     rig_.store.LoseNextAnswers(0);
     rig_.store.LoseNextRequests(0);
-    Judge();
+    CheckInvariants();
   }
 
   void Finish() {
     for (auto* publisher : {&rig_.first, &rig_.second})
       RC_ASSERT(bool(publisher->Apply(Wanted(), {NextId(), "ana", {}})));
     if (unknown_.empty()) {
-      RC_ASSERT(rig_.StrayChunks() == 0U);
+      RC_ASSERT(rig_.UnreferencedChunks() == 0U);
     }
   }
 
@@ -74,9 +75,10 @@
       refused_.insert(id);
   }
 
-  // Whatever happened: the root loads, versions rise, what was accepted is in
-  // the history under its version, and what was refused is not.
-  void Judge() {
+  // Checks after each step that the root loads, that versions never decrease,
+  // that accepted changes are in the history under their version, and that
+  // refused ones are not.
+  void CheckInvariants() {
     const auto image = rig_.LoadFresh();
     if (!image) {
       RC_ASSERT(accepted_.empty());
@@ -88,11 +90,11 @@
     RC_ASSERT(newest <= version_);
     for (const auto& change : image.value()->History()) {
       RC_ASSERT(!refused_.contains(change.apply_id));
-      const auto told = accepted_.find(change.version);
-      if (told == accepted_.end()) {
+      const auto recorded = accepted_.find(change.version);
+      if (recorded == accepted_.end()) {
         RC_ASSERT(unknown_.contains(change.apply_id));
       } else {
-        RC_ASSERT(told->second == change.apply_id);
+        RC_ASSERT(recorded->second == change.apply_id);
       }
     }
   }
@@ -109,11 +111,11 @@
 
 }  // namespace
 
-TEST_CASE("what an operator was told of a change is what happened to it") {
-  // Two entries take changes while writes are lost, answers are lost, the
-  // platform goes down in the middle and rivals come in between. An operator
-  // who is told "refused" of a change that is in force, or "accepted" of one
-  // that is not, acts on the wrong picture in an emergency.
+TEST_CASE("the reported outcome of a change is the actual one") {
+  // Two entries accept changes while requests and responses are lost, the
+  // platform fails in the middle and concurrent changes intervene. An operator
+  // who is told "refused" about a change that is in force, or "accepted" about
+  // one that is not, acts on wrong information in an emergency.
   ConfigureLog("test", log_level::kWarning);
   CHECK(rc::check([] {
     publisher_run run(*rc::gen::arbitrary<std::uint32_t>());
--- a/tests/distribution/witness_test.cc
+++ b/tests/distribution/witness_test.cc
@@ -28,13 +28,14 @@
 
 }  // namespace
 
-TEST_CASE("every way to alter claim handling needs a witness") {
+TEST_CASE("every change to claim handling needs a witness") {
   // A change removes the mark, the class or its service, adds a class, or
-  // shortens how long claims are remembered. If any of these slipped through,
-  // a doubled claim could be paid without the auditor having seen a change.
-  const auto present = Example("consortium");
-  auto wanted = present;
-  CHECK(WitnessedChanges(present, wanted).empty());
+  // shortens how long claims are remembered. If any of these passed without a
+  // witness, a duplicate claim could be paid without the auditor having seen a
+  // change.
+  const auto current = Example("consortium");
+  auto wanted = current;
+  CHECK(WitnessedChanges(current, wanted).empty());
   SECTION("the mark") {
     WitnessedClass(wanted).witnessed = false;
   }
@@ -55,10 +56,10 @@
   SECTION("the retention") {
     wanted.limits.ledger_retention /= 2;
   }
-  CHECK_FALSE(WitnessedChanges(present, wanted).empty());
+  CHECK_FALSE(WitnessedChanges(current, wanted).empty());
 }
 
-TEST_CASE("a witnessed change is in force only with a second operator") {
+TEST_CASE("a witnessed change comes into force only with a second operator") {
   witness_rig rig;
   const apply_request request{"id-2", "ana", {}};
   CHECK(rig.first.Apply(rig.declared, request).error().code ==
@@ -79,12 +80,13 @@
   CHECK(image->History().back().operator_name == "ana");
   CHECK(image->History().back().witness == "bea");
   CHECK(rig.first.Proposals().value().empty());
-  CHECK(rig.StrayChunks() == 0);
+  CHECK(rig.UnreferencedChunks() == 0);
 }
 
-TEST_CASE("a witness's lost answer neither loses nor doubles the change") {
-  // The auditor's consent takes effect and the answer is lost; the auditor
-  // asks again, perhaps through another entry.
+TEST_CASE(
+    "a lost response to a witness neither loses nor duplicates the change") {
+  // The auditor's approval takes effect and the response is lost; the auditor
+  // retries, possibly through another entry.
   witness_rig rig;
   const auto lost = GENERATE(1, 2, 3, 100);
   CHECK_FALSE(rig.first.Apply(rig.declared, {"id-2", "ana", {}}));
@@ -97,8 +99,8 @@
 }
 
 TEST_CASE("a proposal made on an older version is refused") {
-  // Between the proposal and the auditor's consent somebody else changed the
-  // configuration. The consent would undo that change, unseen by both.
+  // Between the proposal and the auditor's approval somebody else changed the
+  // configuration. The approval would undo that change, unnoticed by both.
   witness_rig rig;
   CHECK_FALSE(rig.first.Apply(rig.declared, {"id-2", "ana", {}}));
   REQUIRE(
@@ -108,5 +110,5 @@
   const auto image = rig.LoadFresh().value();
   CHECK(image->version() == 2);
   CHECK(image->frame().drains.size() == rig.declared.drains.size() + 1);
-  CHECK(rig.StrayChunks() == 0);
+  CHECK(rig.UnreferencedChunks() == 0);
 }
--- a/tests/store/configuration_over_http_test.cc
+++ b/tests/store/configuration_over_http_test.cc
@@ -18,7 +18,9 @@
 
 struct no_peers final : config_peer_source {
   std::vector<std::string> Peers() override { return {}; }
-  result<peer_config> Ask(const std::string&) override { return Gone(); }
+  result<peer_config> QueryConfig(const std::string&) override {
+    return Gone();
+  }
   result<config_update> Pull(const std::string&, std::uint64_t) override {
     return Gone();
   }
@@ -37,7 +39,7 @@
 // A watch that waits long would only have the tests wait for its end.
 follower_limits ShortWaits() {
   follower_limits limits;
-  limits.watch_wait = 200ms;
+  limits.watch_timeout = 200ms;
   return limits;
 }
 
@@ -176,7 +178,7 @@
   }
   for (auto& one : operators)
     one.join();
-  const auto history = first.publisher.Present().value()->History();
+  const auto history = first.publisher.Current().value()->History();
   std::size_t accepted = 0;
   for (std::size_t n = 0; n < 4; ++n) {
     for (const auto& change : history) {
