--- a/bench/ledger.cc
+++ b/bench/ledger.cc
@@ -1,7 +1,8 @@
-// Calls to the platform that the ledger makes: per reservation as the load
-// grows, as entries are added at the same load, and when idle. The platform
-// is a map that answers after a few milliseconds. Prints JSON; exits 1 when a
-// bound is broken. The bounds are on counts, not on the machine's speed.
+// Measures how many calls to the platform the ledger makes: per reservation as
+// the load grows, as entries are added at a constant load, and when idle. The
+// platform is simulated by a map with a latency of a few milliseconds. Prints
+// JSON, and exits with status 1 if a bound is exceeded. The bounds apply to
+// call counts, which don't depend on the speed of the machine.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -27,16 +28,24 @@
 #include "peer/udp_peer_transport.h"
 #include "slow_store.h"
 
-ABSL_FLAG(int, latency_ms, 3, "how long the platform takes for a call");
-ABSL_FLAG(int, seconds, 3, "how long each point is loaded");
+ABSL_FLAG(int,
+          latency_ms,
+          3,
+          "simulated latency of a platform call in milliseconds");
+ABSL_FLAG(int,
+          seconds,
+          3,
+          "duration of the load for each measurement in seconds");
 
 namespace samphire {
 namespace {
 
+// Threads that send reservations; an upper bound on those in flight.
 constexpr int kThreads = 128;
 constexpr std::uint32_t kShards = 8;
 
-// Leaders by rendezvous among the entries of this process, or nobody.
+// Chooses leaders by rendezvous hashing among the entries of this process, or
+// none if `names` is empty.
 class bench_router final : public shard_router {
  public:
   std::string LeaderOf(std::uint32_t shard) const override {
@@ -51,7 +60,7 @@
   std::map<std::string, std::string> addresses;
 };
 
-// One entry's ledger, with forwarding over real datagrams.
+// The ledger of one entry, with forwarding over real datagrams.
 struct bench_entry {
   bench_entry(const std::string& name, object_store& store)
       : transport("127.0.0.1:0",
@@ -61,8 +70,8 @@
                   clock,
                   registry),
         forwarder(transport, clock, registry),
-        own(store, router, clock, registry, Options(name), &forwarder),
-        server(own, transport, clock, registry) {
+        local_ledger(store, router, clock, registry, Options(name), &forwarder),
+        server(local_ledger, transport, clock, registry) {
     router.self = name;
     transport.Start();
   }
@@ -79,12 +88,13 @@
   bench_router router;
   udp_peer_transport transport;
   peer_operation_forwarder forwarder;
-  ledger own;
+  ledger local_ledger;
   forward_server server;
 };
 
+// The results at one combination of entries, rate and leaders.
 struct point {
-  bool leaders = false;
+  bool use_leaders = false;
   int entries = 0;
   int rate = 0;
   int reserved = 0;
@@ -97,6 +107,7 @@
   double idle_calls_per_s = 0;
 };
 
+// Totals over all threads; `lock` guards latencies_ms.
 struct load_result {
   std::atomic<int> reserved{0};
   std::atomic<int> refused{0};
@@ -104,7 +115,8 @@
   std::vector<double> latencies_ms;
 };
 
-// Sends reservations at `rate` a second in all, whatever the answers take.
+// Sends reservations at a total of `rate` per second on a fixed schedule,
+// independent of how long the calls take (open loop).
 void Load(std::vector<std::unique_ptr<bench_entry>>& entries,
           int rate,
           load_result& total) {
@@ -121,16 +133,16 @@
                                      std::int64_t{1'000'000} * i / rate);
         std::this_thread::sleep_until(due);
         auto& entry =
-            entries[static_cast<std::size_t>(i) % entries.size()]->own;
-        const auto asked = clock.now();
+            entries[static_cast<std::size_t>(i) % entries.size()]->local_ledger;
+        const auto reserve_start = clock.now();
         const auto outcome =
             entry.Reserve({"claims-desk", fmt::format("key-{}", i), "digest",
-                           asked + milliseconds(5000)});
+                           reserve_start + milliseconds(5000)});
         const std::chrono::duration<double, std::milli> took =
-            clock.now() - asked;
-        if (const auto* held = std::get_if<reserved>(&outcome)) {
+            clock.now() - reserve_start;
+        if (const auto* reservation = std::get_if<reserved>(&outcome)) {
           ++total.reserved;
-          entry.Complete(held->ticket, {201, {}, "recorded"});
+          entry.Complete(reservation->ticket, {201, {}, "recorded"});
         } else {
           ++total.refused;
         }
@@ -141,7 +153,8 @@
   }
 }
 
-point Measure(bool leaders, int entry_count, int rate) {
+// Runs the load on `entry_count` entries, then counts calls while idle.
+point Measure(bool use_leaders, int entry_count, int rate) {
   slow_store store{milliseconds(absl::GetFlag(FLAGS_latency_ms))};
   const system_clock_source clock;
   std::vector<std::unique_ptr<bench_entry>> entries;
@@ -150,14 +163,14 @@
   for (int i = 0; i < entry_count; ++i) {
     const auto name = fmt::format("entry-{}", i);
     entries.push_back(std::make_unique<bench_entry>(name, store));
-    // Every entry has read the number of shards.
-    entries.back()->own.ShardFor("s", "k");
+    // Makes the entry read the number of shards before the load starts.
+    entries.back()->local_ledger.ShardFor("s", "k");
     names.push_back(name);
     addresses[name] = entries.back()->transport.address();
   }
   for (auto& entry : entries) {
     entry->router.addresses = addresses;
-    if (leaders)
+    if (use_leaders)
       entry->router.names = names;
   }
   load_result total;
@@ -165,29 +178,31 @@
   Load(entries, rate, total);
   const double elapsed =
       std::chrono::duration<double>(clock.now() - start).count();
-  point measured{leaders, entry_count, rate, total.reserved, total.refused};
+  point measured{use_leaders, entry_count, rate, total.reserved, total.refused};
   measured.calls_per_s = store.calls() / elapsed;
   measured.calls_per_reservation =
       static_cast<double>(store.calls()) / total.reserved;
   measured.written_per_reservation =
       static_cast<double>(store.bytes()) / total.reserved;
   std::ranges::sort(total.latencies_ms);
-  const auto at = [&](double share) {
+  const auto quantile = [&](double share) {
     return total.latencies_ms[static_cast<std::size_t>(
         share * static_cast<double>(total.latencies_ms.size() - 1))];
   };
-  measured.p50_ms = at(0.5);
-  measured.p99_ms = at(0.99);
+  measured.p50_ms = quantile(0.5);
+  measured.p99_ms = quantile(0.99);
   const int before = store.calls();
+  // Idle phase: one second in which no call to the platform is expected.
   for (int i = 0; i < 20; ++i) {
     for (auto& entry : entries)
-      entry->own.RetryPending();
+      entry->local_ledger.RetryPending();
     std::this_thread::sleep_for(milliseconds(50));
   }
   measured.idle_calls_per_s = store.calls() - before;
   return measured;
 }
 
+// Prints one measurement as a line of JSON.
 void Print(const point& measured) {
   fmt::print(
       R"({{"leaders":{},"entries":{},"rate":{},"reserved":{},"refused":{},)"
@@ -195,13 +210,14 @@
       R"("written_bytes_per_reservation":{:.0f},"p50_ms":{:.1f},)"
       R"("p99_ms":{:.1f},"idle_calls_per_s":{:.0f}}})"
       "\n",
-      measured.leaders, measured.entries, measured.rate, measured.reserved,
+      measured.use_leaders, measured.entries, measured.rate, measured.reserved,
       measured.refused, measured.calls_per_s, measured.calls_per_reservation,
       measured.written_per_reservation, measured.p50_ms, measured.p99_ms,
       measured.idle_calls_per_s);
   std::fflush(stdout);
 }
 
+// Prints a linear fit over (x, calls per second) as a line of JSON.
 void PrintFit(const char* name,
               const std::vector<std::pair<double, double>>& p) {
   const auto fit = FitLine(p);
@@ -212,31 +228,36 @@
 }
 
 int Main() {
-  bool sound = true;
-  const auto measure = [&sound](bool leaders, int entries, int rate) {
-    const auto measured = Measure(leaders, entries, rate);
+  bool within_bounds = true;
+  const auto measure = [&within_bounds](bool use_leaders, int entries,
+                                        int rate) {
+    const auto measured = Measure(use_leaders, entries, rate);
     Print(measured);
-    sound = sound && measured.idle_calls_per_s == 0 && measured.refused == 0;
-    // One batch each 20 ms and shard bounds the calls, however many ask and
-    // however many entries there are, when one of them leads.
-    constexpr double kMostCallsPerShard = 60;
-    if (leaders || entries == 1)
-      sound = sound && measured.calls_per_s < kMostCallsPerShard * kShards;
+    within_bounds = within_bounds && measured.idle_calls_per_s == 0 &&
+                    measured.refused == 0;
+    // One batch per 20 ms and shard bounds the number of calls, regardless of
+    // the load, and also regardless of the number of entries if one of them
+    // leads the shard.
+    constexpr double kMaxCallsPerShardPerSecond = 60;
+    if (use_leaders || entries == 1)
+      within_bounds = within_bounds && measured.calls_per_s <
+                                           kMaxCallsPerShardPerSecond * kShards;
     return measured.calls_per_s;
   };
   std::vector<std::pair<double, double>> by_rate;
   for (const int rate : {50, 200, 800, 1600})
     by_rate.emplace_back(rate, measure(true, 1, rate));
   PrintFit("calls_per_s by reservations_per_s, 1 entry", by_rate);
-  for (const bool leaders : {false, true}) {
+  for (const bool use_leaders : {false, true}) {
     std::vector<std::pair<double, double>> by_entries;
     for (const int entries : {1, 2, 4, 10})
-      by_entries.emplace_back(entries, measure(leaders, entries, 200));
-    PrintFit(leaders ? "calls_per_s by entries, 200 reservations/s, led"
-                     : "calls_per_s by entries, 200 reservations/s, not led",
+      by_entries.emplace_back(entries, measure(use_leaders, entries, 200));
+    PrintFit(use_leaders
+                 ? "calls_per_s by entries, 200 reservations/s, led"
+                 : "calls_per_s by entries, 200 reservations/s, not led",
              by_entries);
   }
-  return sound ? 0 : 1;
+  return within_bounds ? 0 : 1;
 }
 
 }  // namespace
--- a/src/libsamphire/gateway/local_server.cc
+++ b/src/libsamphire/gateway/local_server.cc
@@ -18,12 +18,12 @@
   return std::to_string(request.fingerprint);
 }
 
-recorded_answer RecordOf(const relay_end& end) {
-  recorded_answer record;
+recorded_response RecordOf(const relay_end& end) {
+  recorded_response record;
   record.status = static_cast<std::uint16_t>(end.status);
   if (!end.answer)
     return record;
-  record.kept = 1;
+  record.content_recorded = 1;
   record.body = end.answer->body;
   const auto& head = end.answer->head;
   for (const auto* name : {"Content-Type", "Date", "Location"}) {
@@ -33,7 +33,7 @@
   return record;
 }
 
-held_answer AnswerOf(const recorded_answer& record) {
+held_answer AnswerOf(const recorded_response& record) {
   held_answer answer;
   answer.head.setStatus(
       static_cast<Poco::Net::HTTPResponse::HTTPStatus>(record.status));
@@ -123,9 +123,9 @@
 
 serve_end local_server::Replay(progress& state, const replay& found) {
   const auto note = Note(state, found.code, run_state::kRan);
-  if (found.answer.status == 0)
+  if (found.response.status == 0)
     return unanswered{note};
-  SendHeld(state.sink, AnswerOf(found.answer), note);
+  SendHeld(state.sink, AnswerOf(found.response), note);
   return answered{};
 }
 
--- a/src/libsamphire/ledger/forward_server.cc
+++ b/src/libsamphire/ledger/forward_server.cc
@@ -11,26 +11,29 @@
 
 namespace {
 
-// Asks that may wait. With a platform that takes 20 ms a batch this is a
-// second's worth at several thousand a second; more would only expire.
-constexpr std::size_t kMaxQueued = 4096;
-// Those who ask wait no longer than this.
-constexpr milliseconds kCommitTime{250};
+// Maximum number of queued requests over all shards. With a platform that takes
+// 20 ms per batch, this is one second's load at several thousand requests per
+// second; requests beyond it would only expire in the queue.
+constexpr std::size_t kMaxQueuedRequests = 4096;
+// Maximum time for committing a batch. The requesting entries don't wait longer
+// for the response.
+constexpr milliseconds kCommitTimeout{250};
 
 }  // namespace
 
-forward_server::forward_server(ledger& subject,
+forward_server::forward_server(ledger& local_ledger,
                                peer_transport& transport,
                                const clock_source& clock,
                                metrics& registry,
                                std::size_t threads)
-    : ledger_(subject),
+    : ledger_(local_ledger),
       transport_(transport),
       clock_(clock),
       metrics_(registry) {
   threads_.reserve(threads);
   for (std::size_t i = 0; i < threads; ++i) {
-    threads_.emplace_back([this](const std::stop_token& stop) { Run(stop); });
+    threads_.emplace_back(
+        [this](const std::stop_token& stop) { RunWorker(stop); });
   }
   transport_.OnMessage(
       message_kind::kLedgerAsk,
@@ -42,87 +45,92 @@
 }
 
 void forward_server::Receive(const peer_message& message) {
-  auto ask = DecodeBinary<forward_ask>(message.payload);
-  if (!ask)
-    return Refuse("malformed");
-  // A process speaks for its own reservations only.
+  auto request = DecodeBinary<forward_request>(message.payload);
+  if (!request)
+    return CountRefusal("malformed");
+  // A process may only change its own reservations.
   const reservation_holder sender{message.sender, message.incarnation};
-  if (ask->entry.holder != sender)
-    return Refuse("not-holder");
-  const auto shard = ledger_.ShardFor(ask->entry.service, ask->entry.key);
+  if (request->entry.holder != sender)
+    return CountRefusal("not-holder");
+  const auto shard =
+      ledger_.ShardFor(request->entry.service, request->entry.key);
   if (!shard)
-    return Refuse("not-ready");
+    return CountRefusal("not-ready");
   std::lock_guard guard(lock_);
-  if (queued_ >= kMaxQueued)
-    return Refuse("queue-full");
+  if (queued_ >= kMaxQueuedRequests)
+    return CountRefusal("queue-full");
   ++queued_;
-  queues_[*shard].asks.push_back({message.from, std::move(*ask)});
+  queues_[*shard].requests.push_back({message.from, std::move(*request)});
   arrived_.notify_one();
 }
 
-void forward_server::Run(const std::stop_token& stop) {
+void forward_server::RunWorker(const std::stop_token& stop) {
   std::unique_lock guard(lock_);
   while (!stop.stop_requested()) {
-    const auto ready = std::ranges::find_if(queues_, [](const auto& entry) {
-      return !entry.second.busy && !entry.second.asks.empty();
-    });
-    if (ready == queues_.end()) {
+    const auto idle_queue =
+        std::ranges::find_if(queues_, [](const auto& entry) {
+          return !entry.second.committing && !entry.second.requests.empty();
+        });
+    if (idle_queue == queues_.end()) {
       arrived_.wait(guard, stop, [this] {
         return std::ranges::any_of(queues_, [](const auto& entry) {
-          return !entry.second.busy && !entry.second.asks.empty();
+          return !entry.second.committing && !entry.second.requests.empty();
         });
       });
       continue;
     }
-    auto& queue = ready->second;
-    queue.busy = true;
-    auto asks = std::exchange(queue.asks, {});
-    queued_ -= asks.size();
+    auto& queue = idle_queue->second;
+    queue.committing = true;
+    auto requests = std::exchange(queue.requests, {});
+    queued_ -= requests.size();
     guard.unlock();
-    CommitAll(ready->first, std::move(asks));
+    CommitRequests(idle_queue->first, std::move(requests));
     guard.lock();
-    queue.busy = false;
+    queue.committing = false;
     arrived_.notify_one();
   }
 }
 
-// An ask that is past its time was given up by the one who asked: it went to
-// the platform itself or told its caller "not run". Committing it now would
-// only leave a reservation that nobody holds.
-void forward_server::CommitAll(std::uint32_t shard,
-                               std::vector<waiting_ask> asks) {
+// The entry that sent a request stops waiting before the request expires: it
+// has committed the operation through the platform itself or told its caller
+// "not run". Committing an expired request would only leave a reservation that
+// no process dispatches.
+void forward_server::CommitRequests(std::uint32_t shard,
+                                    std::vector<queued_request> requests) {
   const auto now = std::chrono::duration_cast<milliseconds>(
                        clock_.wall_now().time_since_epoch())
                        .count();
-  const auto expired = std::erase_if(asks, [now](const waiting_ask& waiting) {
-    return waiting.ask.expires_at < now;
-  });
+  const auto expired =
+      std::erase_if(requests, [now](const queued_request& waiting) {
+        return waiting.request.expires_at < now;
+      });
   for (std::size_t i = 0; i < expired; ++i)
-    Refuse("expired");
+    CountRefusal("expired");
   std::vector<ledger_operation> operations;
-  operations.reserve(asks.size());
-  for (const auto& waiting : asks)
-    operations.push_back(ToOperation(waiting.ask));
+  operations.reserve(requests.size());
+  for (const auto& waiting : requests)
+    operations.push_back(ToOperation(waiting.request));
   const auto outcomes = ledger_.CommitFor(shard, std::move(operations),
-                                          clock_.now() + kCommitTime);
-  for (std::size_t i = 0; i < asks.size(); ++i) {
-    auto answer = ToAnswer(outcomes[i]);
-    answer.id = asks[i].ask.id;
-    auto payload = EncodeBinary(answer);
-    // A replay that is too large is read from the platform by the asker.
+                                          clock_.now() + kCommitTimeout);
+  for (std::size_t i = 0; i < requests.size(); ++i) {
+    auto response = ToResponse(outcomes[i]);
+    response.id = requests[i].request.id;
+    auto payload = EncodeBinary(response);
+    // A replay that doesn't fit a peer message is answered with a refusal, upon
+    // which the requesting entry reads it from the platform.
     if (payload.size() > kMaxPeerPayload) {
-      forward_answer too_large;
-      too_large.id = answer.id;
+      forward_response too_large;
+      too_large.id = response.id;
       payload = EncodeBinary(too_large);
     }
     const auto sent =
-        transport_.Send(asks[i].from, message_kind::kLedgerAnswer, payload);
+        transport_.Send(requests[i].from, message_kind::kLedgerAnswer, payload);
     metrics_.Count("ledger_forwards_served_total",
                    sent ? "result=\"answered\"" : "result=\"unsent\"");
   }
 }
 
-void forward_server::Refuse(const char* reason) {
+void forward_server::CountRefusal(const char* reason) {
   metrics_.Count("ledger_forwards_refused_total",
                  fmt::format("reason=\"{}\"", reason));
 }
--- a/src/libsamphire/ledger/ledger.cc
+++ b/src/libsamphire/ledger/ledger.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-// How long a thread that has an answer for its caller waits for the platform
-// to record it, before the answer is given and the record is left to retries.
+// Maximum time for which a settlement delays the response to the caller. After
+// it, the response is sent and the settlement is left to the retries.
 constexpr milliseconds kSettleTimeout{1000};
 
 struct outcome_name {
@@ -27,7 +27,8 @@
 
 struct to_reservation_outcome {
   reservation_outcome operator()(settle_effect) const {
-    return refused{result_code::kLedgerUnavailable, "not a reservation"};
+    return refused{result_code::kLedgerUnavailable,
+                   "settlement outcome returned for a reservation"};
   }
   template <typename T>
   reservation_outcome operator()(T outcome) const {
@@ -40,7 +41,7 @@
   return (std::uint64_t{device()} << 32) | device();
 }
 
-bool IsSound(const reservation_request& request) {
+bool IsValid(const reservation_request& request) {
   return !request.key.empty() && request.key.size() <= kMaxIdempotencyKey &&
          request.service.size() <= kMaxServiceName &&
          request.request_digest.size() <= kMaxRequestDigest;
@@ -60,41 +61,45 @@
       metrics_(registry),
       options_(std::move(options)),
       forwarder_(forwarder),
-      process_number_(RandomNumber()),
-      pending_(process_number_) {}
+      process_nonce_(RandomNumber()),
+      pending_(process_nonce_) {}
 
 reservation_outcome ledger::Reserve(const reservation_request& request) {
-  auto outcome = Ask(request);
+  auto outcome = ReserveUncounted(request);
   CountOutcome(outcome);
   return outcome;
 }
 
-reservation_outcome ledger::Ask(const reservation_request& request) {
-  if (!IsSound(request))
+reservation_outcome ledger::ReserveUncounted(
+    const reservation_request& request) {
+  if (!IsValid(request))
     return refused{result_code::kBadIdempotencyKey, {}};
   if (clock_.now() >= request.deadline)
     return refused{result_code::kDeadlineUnreachable, {}};
-  // Each settlement that only this process knows of is lost into doubt if the
-  // process dies. The bound keeps what operators would have to settle small.
+  // If this process crashes, each settlement that only it knows of leaves a
+  // reservation in doubt. The bound limits how many an operator would have to
+  // settle.
   if (pending_.size() >= options_.max_pending)
-    return refused{result_code::kLedgerUnavailable, "too much unrecorded"};
-  const auto prepared = Prepare();
-  if (!prepared) {
-    const auto code = prepared.error().code == result_code::kStoreCorrupt
+    return refused{result_code::kLedgerUnavailable,
+                   "too many settlements not yet recorded"};
+  const auto opened = EnsureShardsOpen();
+  if (!opened) {
+    const auto code = opened.error().code == result_code::kStoreCorrupt
                           ? result_code::kStoreCorrupt
                           : result_code::kLedgerUnavailable;
-    return refused{code, prepared.error().detail};
+    return refused{code, opened.error().detail};
   }
-  const auto ticket = TicketFor(request);
+  const auto ticket = MakeTicket(request);
   return std::visit(
       to_reservation_outcome{},
       Commit(ticket, reserve_operation{ticket}, request.deadline));
 }
 
-// By way of the leader, if there is another and it answers; otherwise in
-// person, with the same nonce, so that it doesn't matter whether the leader
-// did commit. Ten entries that all write to one shard would meet in conflicts
-// at every batch; one that writes for all makes as many calls as if alone.
+// Commits by way of the shard's leader if another entry leads it and responds
+// in time; otherwise directly, with the same nonce, so that it doesn't matter
+// whether the leader committed the operation as well. If ten entries wrote to
+// one shard themselves, they would conflict on every batch; a leader that
+// writes for all of them makes as many calls as a single entry would.
 operation_outcome ledger::Commit(const reservation_ticket& ticket,
                                  const ledger_operation& operation,
                                  time_point deadline) {
@@ -103,13 +108,14 @@
       forwarder_ == nullptr ? std::string() : router_.LeaderOf(shard);
   if (!leader.empty()) {
     auto outcome = forwarder_->Forward(leader, operation, deadline);
-    const bool held = outcome && std::holds_alternative<reserved>(*outcome);
-    if (outcome && (!held || ticket.MayDispatch(clock_.now())))
+    const bool is_reserved =
+        outcome && std::holds_alternative<reserved>(*outcome);
+    if (outcome && (!is_reserved || ticket.MayDispatch(clock_.now())))
       return std::move(*outcome);
   }
   auto outcomes = committers_[shard]->Commit({operation}, deadline);
-  // The caller is told "not run", and the leader may yet commit what it was
-  // asked: then nobody would hold the reservation.
+  // The caller is told "not run", but the leader may still commit the forwarded
+  // reservation, which no process would then dispatch.
   if (!leader.empty() && std::holds_alternative<refused>(outcomes.front()) &&
       std::holds_alternative<reserve_operation>(operation)) {
     pending_.Add(shard, release_operation{ticket, std::nullopt, true});
@@ -119,7 +125,7 @@
 
 std::optional<std::uint32_t> ledger::ShardFor(const std::string& service,
                                               const std::string& key) {
-  if (!Prepare())
+  if (!EnsureShardsOpen())
     return std::nullopt;
   return ShardOf(service, key, shard_count_);
 }
@@ -131,22 +137,24 @@
   return committers_[shard]->Commit(std::move(operations), deadline);
 }
 
-reservation_ticket ledger::TicketFor(const reservation_request& request) {
+reservation_ticket ledger::MakeTicket(const reservation_request& request) {
   reservation_ticket ticket;
   ticket.service = request.service;
   ticket.key = request.key;
   ticket.request_digest = request.request_digest;
-  ticket.nonce = {process_number_, ++reservations_};
+  ticket.nonce = {process_nonce_, ++reservation_count_};
   ticket.holder = options_.self;
   ticket.dispatch_before = request.deadline;
-  ticket.doubt_after = clock_.wall_now() + (request.deadline - clock_.now()) +
-                       options_.doubt_margin;
+  ticket.in_doubt_after = clock_.wall_now() +
+                          (request.deadline - clock_.now()) +
+                          options_.in_doubt_margin;
   return ticket;
 }
 
 settle_effect ledger::Complete(const reservation_ticket& ticket,
-                               recorded_answer answer) {
-  return Settle(ticket, complete_operation{ticket, Bound(std::move(answer))});
+                               recorded_response response) {
+  return Settle(ticket, complete_operation{
+                            ticket, DropOversizedContent(std::move(response))});
 }
 
 settle_effect ledger::Release(const reservation_ticket& ticket) {
@@ -157,10 +165,11 @@
   return Settle(ticket, mark_unknown_operation{ticket});
 }
 
-// The platform may be down when the answer comes. The caller has waited for
-// it and gets it; the settlement is kept and tried again. Until then a repeat
-// is told "in progress" or "in doubt", so nothing runs twice; if this process
-// dies first, an operator finds the reservation in doubt.
+// The platform may be unavailable when the target responds. The caller gets its
+// response anyway; the settlement is kept and retried. Until it is written, a
+// repeat is told "in progress" or "in doubt", so nothing is executed twice. If
+// this process crashes first, the reservation stays in doubt until an operator
+// settles it.
 settle_effect ledger::Settle(const reservation_ticket& ticket,
                              ledger_operation operation) {
   const auto outcome = Commit(ticket, operation, clock_.now() + kSettleTimeout);
@@ -205,22 +214,22 @@
       continue;
     }
     metrics_.CountRetry(result_code::kLedgerUnavailable);
-    pending_.PutBack(std::move(items[i]), clock_.now());
+    pending_.Reschedule(std::move(items[i]), clock_.now());
   }
-  pending_.Forget(settled);
+  pending_.MarkSettled(settled);
 }
 
-// The platform is asked without the lock: it may be slow, and callers that
-// wait for a lock can't leave at their deadlines. That several threads ask at
-// the start costs a few calls once.
-result<void> ledger::Prepare() {
+// The lock is not held during the call to the platform: the call may be slow,
+// and callers that wait for a lock can't return at their deadlines. Several
+// threads may thus read the layout at startup, which costs a few calls once.
+result<void> ledger::EnsureShardsOpen() {
   if (shard_count_ != 0)
     return Success();
   metrics_.Count("ledger_store_calls_total", "call=\"layout\"");
-  BOOST_OUTCOME_TRY(agreed, AgreeOnShards(store_, options_.shards));
-  std::lock_guard guard(prepare_lock_);
+  BOOST_OUTCOME_TRY(shard_count, LoadOrCreateLayout(store_, options_.shards));
+  std::lock_guard guard(open_lock_);
   if (shard_count_ == 0)
-    OpenShards(agreed);
+    OpenShards(shard_count);
   return Success();
 }
 
@@ -245,9 +254,9 @@
   return *committers_[ShardOf(service, key, shard_count_)];
 }
 
-judge_context ledger::Context() const {
+apply_context ledger::Context() const {
   return {clock_.wall_now(), options_.retention, options_.self,
-          options_.holder_gone};
+          options_.holder_failed};
 }
 
 void ledger::CountOutcome(const reservation_outcome& outcome) {
--- a/src/libsamphire/ledger/ledger_codec.cc
+++ b/src/libsamphire/ledger/ledger_codec.cc
@@ -12,10 +12,13 @@
 
 namespace {
 
+// "SLG1" as a number; identifies a ledger shard.
 constexpr std::uint32_t kMagic = 0x534c4731;
 constexpr std::uint16_t kFormatVersion = 1;
-// More than fit a value of a megabyte.
+// Upper bound on the entries of a decoded shard: more than fit a value of one
+// megabyte.
 constexpr std::size_t kMaxEntries = 1 << 16;
+// Upper bound on the encoded entries, in bytes.
 constexpr std::size_t kMaxPayload = 1 << 20;
 
 struct shard_payload {
@@ -23,11 +26,12 @@
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    // Entry by entry: a forged count must not allocate entries up front.
+    // Entries are read one by one, so that a forged count can't make the
+    // decoder allocate memory up front.
     auto count = static_cast<std::uint32_t>(entries.size());
     archive(count);
     if (count > kMaxEntries)
-      throw cereal::Exception("too many entries");
+      throw cereal::Exception("too many entries in ledger shard");
     for (std::uint32_t i = 0; i < count; ++i) {
       if constexpr (Archive::is_loading::value)
         entries.emplace_back();
@@ -36,6 +40,7 @@
   }
 };
 
+// The stored value: the encoded entries with a checksum over them.
 struct shard_frame {
   std::uint32_t magic = kMagic;
   std::uint16_t version = kFormatVersion;
@@ -69,24 +74,25 @@
   return EncodeBinary(frame);
 }
 
-// A shard that another program wrote over, or that a newer version wrote,
-// would look empty or half empty to a lenient reader, and everything in it
-// would run again. So anything unexpected refuses the whole shard.
+// A lenient decoder could take a shard that was overwritten by another program,
+// or written by a newer version, for an empty or partly empty one, and every
+// request recorded in it would be executed again. Therefore any unexpected
+// content makes the whole shard invalid.
 result<ledger_shard> DecodeShard(std::string_view value) {
   auto frame = DecodeBinary<shard_frame>(value);
   if (!frame || frame->magic != kMagic)
-    return Corrupt("not a ledger shard");
+    return Corrupt("not a ledger shard: bad frame or magic number");
   if (frame->version != kFormatVersion)
-    return Corrupt("ledger shard of another format version");
+    return Corrupt("unsupported ledger shard format version");
   if (Checksum(frame->payload) != frame->checksum)
-    return Corrupt("ledger shard with a wrong checksum");
+    return Corrupt("ledger shard checksum mismatch");
   auto payload = DecodeBinary<shard_payload>(frame->payload);
   if (!payload)
-    return Corrupt("ledger shard with malformed entries");
+    return Corrupt("malformed entries in ledger shard");
   ledger_shard shard;
   for (auto& entry : payload->entries) {
     if (shard.Find(entry.service, entry.key) != nullptr)
-      return Corrupt("ledger shard with a key twice");
+      return Corrupt("duplicate key in ledger shard");
     shard.Insert(std::move(entry));
   }
   return shard;
--- a/src/libsamphire/ledger/ledger_codec.h
+++ b/src/libsamphire/ledger/ledger_codec.h
@@ -9,9 +9,11 @@
 
 namespace samphire {
 
-// The value of a shard's object, and back. Decoding refuses whatever this
-// version did not write with kStoreCorrupt.
+// Encodes a shard as the value of its object in the platform.
 std::string EncodeShard(const ledger_shard& shard);
+// Decodes the value of a shard's object. Returns kStoreCorrupt for any value
+// that this format version did not write: a wrong magic number, version or
+// checksum, malformed entries or a duplicate key.
 result<ledger_shard> DecodeShard(std::string_view value);
 
 }  // namespace samphire
--- a/src/libsamphire/ledger/ledger_entry.h
+++ b/src/libsamphire/ledger/ledger_entry.h
@@ -6,33 +6,43 @@
 
 #include "base/bounded_codec.h"
 #include "base/clock_source.h"
-#include "ledger/recorded_answer.h"
+#include "ledger/recorded_response.h"
 #include "ledger/reservation_holder.h"
 #include "ledger/reservation_nonce.h"
 #include "ledger/reservation_state.h"
 
 namespace samphire {
 
+// Upper bounds on the strings of an entry, in bytes. They bound both what
+// callers may send and what a decoder allocates.
 inline constexpr std::size_t kMaxIdempotencyKey = 255;
 inline constexpr std::size_t kMaxServiceName = 255;
 inline constexpr std::size_t kMaxRequestDigest = 64;
 inline constexpr std::size_t kMaxOperatorName = 255;
 inline constexpr std::size_t kMaxReason = 1024;
 
-// What the ledger keeps of one (service, key).
+// The stored reservation of one (service, idempotency key) pair. The field
+// order of serialize() is the stored format.
 struct ledger_entry {
   std::string service;
   std::string key;
-  // Of method, path and body: tells a repeat from another request.
+  // Digest of method, path and body, which tells a repeat from a different
+  // request that reuses the key.
   std::string request_digest;
+  // Identifies the reservation that created this entry.
   reservation_nonce nonce;
+  // The process that may dispatch the request.
   reservation_holder holder;
   reservation_state state = reservation_state::kReserved;
-  // A reservation that is not settled by then is in doubt.
-  wall_time doubt_after;
+  // Time of day from which a reservation that is not settled counts as in
+  // doubt.
+  wall_time in_doubt_after;
+  // Time of day of the last change of state; retention counts from it.
   wall_time changed_at;
-  recorded_answer answer;
-  // Who settled it by hand, and why.
+  // The target's response, set in state kDone.
+  recorded_response response;
+  // The operator who settled the reservation, and the reason given; both are
+  // empty if no operator did.
   std::string settled_by;
   std::string reason;
 
@@ -41,23 +51,25 @@
     archive(Bounded<kMaxServiceName>(service), Bounded<kMaxIdempotencyKey>(key),
             Bounded<kMaxRequestDigest>(request_digest), nonce, holder);
     SerializeEnum<reservation_state::kUnknown>(archive, state);
-    SerializeTime(archive, doubt_after);
+    SerializeTime(archive, in_doubt_after);
     SerializeTime(archive, changed_at);
-    archive(answer, Bounded<kMaxOperatorName>(settled_by),
+    archive(response, Bounded<kMaxOperatorName>(settled_by),
             Bounded<kMaxReason>(reason));
   }
 
  private:
   template <typename Archive>
+  // Stores a time of day as microseconds since the Unix epoch.
   static void SerializeTime(Archive& archive, wall_time& time) {
     std::int64_t count =
         std::chrono::duration_cast<microseconds>(time.time_since_epoch())
             .count();
     archive(count);
-    // Far beyond any real date, yet far from overflow in nanoseconds.
+    // Upper bound on a stored time: far beyond any real date, yet low enough
+    // that the conversion to nanoseconds can't overflow.
     constexpr std::int64_t kLatest = std::int64_t{1} << 52;
     if (count < 0 || count > kLatest)
-      throw cereal::Exception("time out of range");
+      throw cereal::Exception("ledger entry time out of range");
     if constexpr (Archive::is_loading::value)
       time = wall_time(microseconds(count));
   }
--- a/src/libsamphire/ledger/ledger_operation.h
+++ b/src/libsamphire/ledger/ledger_operation.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <variant>
 
-#include "ledger/recorded_answer.h"
+#include "ledger/recorded_response.h"
 #include "ledger/reservation_outcome.h"
 #include "ledger/reservation_ticket.h"
 #include "ledger/resolution.h"
@@ -14,29 +14,35 @@
 
 namespace samphire {
 
+// Reserves the ticket's key for its holder.
 struct reserve_operation {
   reservation_ticket ticket;
 };
 
+// Records the target's response to a reserved request.
 struct complete_operation {
   reservation_ticket ticket;
-  recorded_answer answer;
+  recorded_response response;
 };
 
+// Records that a reserved request was not executed.
 struct release_operation {
   reservation_ticket ticket;
-  // The version that a write of unknown outcome was conditional on: while the
-  // shard still has it, that write may yet take effect.
+  // The shard version that a write of unknown outcome was conditional on. While
+  // the shard still has that version, the write may yet take effect.
   std::optional<std::uint64_t> fence_version;
-  // The reservation was forwarded too, and may be committed by the leader
-  // later: a mark is left that refuses it.
-  bool leave_mark = false;
+  // Set if the reservation was also forwarded and the leader may commit it
+  // later: a released entry with the same nonce is left behind, which refuses
+  // it.
+  bool leave_tombstone = false;
 };
 
+// Records that a reserved request may have been executed.
 struct mark_unknown_operation {
   reservation_ticket ticket;
 };
 
+// Records an operator's decision on a reservation in doubt.
 struct resolve_operation {
   std::string service;
   std::string key;
@@ -45,14 +51,14 @@
   std::string reason;
 };
 
-// One change that is asked of a shard.
+// One change requested of a shard.
 using ledger_operation = std::variant<reserve_operation,
                                       complete_operation,
                                       release_operation,
                                       mark_unknown_operation,
                                       resolve_operation>;
 
-// What a shard answers: the outcome of a reservation, or of settling one.
+// The outcome of an operation: that of a reservation, or of settling one.
 using operation_outcome = std::
     variant<reserved, replay, in_progress, in_doubt, refused, settle_effect>;
 
--- a/src/libsamphire/ledger/ledger_operator.cc
+++ b/src/libsamphire/ledger/ledger_operator.cc
@@ -3,24 +3,25 @@
 #include "ledger/ledger_codec.h"
 #include "ledger/ledger_layout.h"
 
-// What the ledger does for operators.
+// Implements the operator calls of the ledger.
 
 namespace samphire {
 
 namespace {
 
-// An operator rather waits than guesses.
+// Maximum time for committing an operator's decision. Longer than for callers,
+// since an operator would rather wait than get an uncertain result.
 constexpr milliseconds kResolveTimeout{5000};
 
 }  // namespace
 
 result<ledger_record> ledger::Show(const std::string& service,
                                    const std::string& key) {
-  BOOST_OUTCOME_TRY(Prepare());
+  BOOST_OUTCOME_TRY(EnsureShardsOpen());
   const auto shard = ShardOf(service, key, shard_count_);
-  shard_store view(store_, ShardKey(shard), metrics_);
-  BOOST_OUTCOME_TRY(view.Load());
-  const auto* entry = view.known()->shard.Find(service, key);
+  shard_store stored(store_, ShardKey(shard), metrics_);
+  BOOST_OUTCOME_TRY(stored.Load());
+  const auto* entry = stored.cached()->shard.Find(service, key);
   if (entry == nullptr)
     return MakeError(result_code::kUnknownLedgerKey, key);
   return ledger_record{*entry, shard, IsInDoubt(*entry, Context())};
@@ -56,10 +57,11 @@
                              const std::string& reason) {
   if (operator_name.empty() || operator_name.size() > kMaxOperatorName ||
       reason.empty() || reason.size() > kMaxReason) {
-    return MakeError(result_code::kValueOutOfRange,
-                     "operator and reason are required and bounded");
+    return MakeError(
+        result_code::kValueOutOfRange,
+        "operator (1 to 255 bytes) and reason (1 to 1024 bytes) are required");
   }
-  BOOST_OUTCOME_TRY(Prepare());
+  BOOST_OUTCOME_TRY(EnsureShardsOpen());
   const auto outcomes =
       CommitterOf(service, key)
           .Commit({resolve_operation{service, key, as, operator_name, reason}},
--- a/src/libsamphire/ledger/ledger_record.h
+++ b/src/libsamphire/ledger/ledger_record.h
@@ -7,10 +7,12 @@
 
 namespace samphire {
 
-// One entry as an operator sees it.
+// One ledger entry as shown to an operator.
 struct ledger_record {
   ledger_entry entry;
+  // The number of the shard that holds the entry.
   std::uint32_t shard = 0;
+  // Whether an operator has to settle the entry, as of the time of reading.
   bool in_doubt = false;
 };
 
--- a/src/libsamphire/ledger/ledger_retry_thread.cc
+++ b/src/libsamphire/ledger/ledger_retry_thread.cc
@@ -6,13 +6,14 @@
 
 namespace {
 
-// Under the shortest pause between tries this would only burn processor time.
-constexpr milliseconds kInterval{50};
+// Interval between checks for due settlements. An interval below the shortest
+// backoff between retries would only waste processor time.
+constexpr milliseconds kRetryInterval{50};
 
 }  // namespace
 
-ledger_retry_thread::ledger_retry_thread(ledger& subject)
-    : ledger_(subject),
+ledger_retry_thread::ledger_retry_thread(ledger& local_ledger)
+    : ledger_(local_ledger),
       thread_([this](const std::stop_token& stop) { Run(stop); }) {}
 
 ledger_retry_thread::~ledger_retry_thread() = default;
@@ -20,7 +21,7 @@
 void ledger_retry_thread::Run(const std::stop_token& stop) {
   std::unique_lock guard(lock_);
   while (!stop.stop_requested()) {
-    wake_.wait_for(guard, stop, kInterval, [] { return false; });
+    wake_.wait_for(guard, stop, kRetryInterval, [] { return false; });
     if (ledger_.pending() > 0)
       ledger_.RetryPending();
   }
--- a/src/libsamphire/ledger/ledger_retry_thread.h
+++ b/src/libsamphire/ledger/ledger_retry_thread.h
@@ -9,10 +9,11 @@
 
 namespace samphire {
 
-// Lets a ledger try again what it couldn't write, until destroyed.
+// Owns a thread that periodically retries a ledger's pending settlements. The
+// thread stops and is joined on destruction. `local_ledger` must outlive it.
 class ledger_retry_thread {
  public:
-  explicit ledger_retry_thread(ledger& subject);
+  explicit ledger_retry_thread(ledger& local_ledger);
   ~ledger_retry_thread();
 
   ledger_retry_thread(const ledger_retry_thread&) = delete;
@@ -22,6 +23,7 @@
   void Run(const std::stop_token& stop);
 
   ledger& ledger_;
+  // Needed only for the interruptible wait.
   std::mutex lock_;
   std::condition_variable_any wake_;
   std::jthread thread_;
--- a/src/libsamphire/ledger/ledger_shard.cc
+++ b/src/libsamphire/ledger/ledger_shard.cc
@@ -3,39 +3,45 @@
 #include <iterator>
 #include <utility>
 
-#include "ledger/shard_judge.h"
+#include "ledger/operation_applier.h"
 
 namespace samphire {
 
 namespace {
 
-// The platform takes a megabyte; half of it leaves room for completions of
-// what is reserved and keeps a rewrite of the shard to a few milliseconds.
+// Upper bound on a shard's size for new reservations. The platform accepts
+// values of up to one megabyte; using half of it leaves space for the
+// completions of existing reservations and keeps rewriting the shard to a few
+// milliseconds.
 constexpr std::size_t kMaxShardBytes = std::size_t{512} * 1024;
-// The numbers, times and lengths of an entry and the pair around a header.
+// Upper bounds on the encoded size of an entry's numbers, times and length
+// fields, and of the length fields around a header, in bytes.
 constexpr std::size_t kEntryOverhead = 64;
 constexpr std::size_t kHeaderOverhead = 4;
 
 std::size_t BytesOf(const ledger_entry& entry) {
   std::size_t bytes = kEntryOverhead + entry.service.size() + entry.key.size() +
                       entry.request_digest.size() +
-                      entry.holder.instance.size() + entry.answer.body.size() +
-                      entry.settled_by.size() + entry.reason.size();
-  for (const auto& header : entry.answer.headers)
+                      entry.holder.instance.size() +
+                      entry.response.body.size() + entry.settled_by.size() +
+                      entry.reason.size();
+  for (const auto& header : entry.response.headers)
     bytes += kHeaderOverhead + header.name.size() + header.value.size();
   return bytes;
 }
 
 }  // namespace
 
-ledger_shard::judgement ledger_shard::Apply(const ledger_operation& operation,
-                                            const judge_context& context) {
-  return std::visit(shard_judge(*this, context), operation);
+ledger_shard::apply_result ledger_shard::Apply(
+    const ledger_operation& operation,
+    const apply_context& context) {
+  return std::visit(operation_applier(*this, context), operation);
 }
 
-// An entry that nobody settled stays, however old: dropping it would let a
-// repeat run, and its first run may have happened.
-void ledger_shard::Compact(const judge_context& context) {
+// Entries that are not settled are kept regardless of their age: without the
+// entry, a repeat would be executed although the first execution may have
+// happened.
+void ledger_shard::Compact(const apply_context& context) {
   const auto oldest = context.now - context.retention;
   for (auto it = entries_.begin(); it != entries_.end();) {
     const auto next = std::next(it);
@@ -65,8 +71,9 @@
   entries_.erase(entry);
 }
 
-// What was released did not run, so that forgetting it early is safe.
-bool ledger_shard::MakeRoom(std::size_t bytes) {
+// Released entries can be dropped before their retention ends, since their
+// requests were not executed.
+bool ledger_shard::EnsureSpace(std::size_t bytes) {
   if (bytes_ + bytes <= kMaxShardBytes)
     return true;
   for (auto it = entries_.begin(); it != entries_.end();) {
@@ -78,15 +85,15 @@
   return bytes_ + bytes <= kMaxShardBytes;
 }
 
-bool IsInDoubt(const ledger_entry& entry, const judge_context& context) {
+bool IsInDoubt(const ledger_entry& entry, const apply_context& context) {
   if (entry.state == reservation_state::kUnknown)
     return true;
   if (entry.state != reservation_state::kReserved)
     return false;
   const bool replaced = entry.holder.instance == context.self.instance &&
                         entry.holder.incarnation != context.self.incarnation;
-  return replaced || context.now > entry.doubt_after ||
-         (context.holder_gone && context.holder_gone(entry.holder));
+  return replaced || context.now > entry.in_doubt_after ||
+         (context.holder_failed && context.holder_failed(entry.holder));
 }
 
 }  // namespace samphire
--- a/src/libsamphire/ledger/local_shard_router.h
+++ b/src/libsamphire/ledger/local_shard_router.h
@@ -7,7 +7,7 @@
 
 namespace samphire {
 
-// Every entry commits for every shard itself.
+// Shard router without leaders: each entry commits to every shard directly.
 class local_shard_router final : public shard_router {
  public:
   std::string LeaderOf(std::uint32_t) const override { return {}; }
--- a/src/libsamphire/ledger/shard_judge.cc
+++ b/src/libsamphire/ledger/operation_applier.cc
@@ -1,4 +1,4 @@
-#include "ledger/shard_judge.h"
+#include "ledger/operation_applier.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,9 +7,11 @@
 
 namespace {
 
-// A repeat that comes back sooner than this only costs the platform a read.
-constexpr milliseconds kShortestRetryAfter{200};
+// Lower bound on the wait suggested to a caller. A repeat that comes back
+// sooner would only cost another read from the platform.
+constexpr milliseconds kMinRetryAfter{200};
 
+// Creates an entry for a ticket.
 ledger_entry EntryOf(const reservation_ticket& ticket,
                      reservation_state state,
                      wall_time now) {
@@ -19,98 +21,104 @@
   entry.request_digest = ticket.request_digest;
   entry.nonce = ticket.nonce;
   entry.holder = ticket.holder;
-  entry.doubt_after = ticket.doubt_after;
+  entry.in_doubt_after = ticket.in_doubt_after;
   entry.state = state;
   entry.changed_at = now;
   return entry;
 }
 
-shard_judge::judgement Refuse(result_code code) {
+operation_applier::apply_result Refuse(result_code code) {
   return {refused{code, {}}};
 }
 
-shard_judge::judgement Recorded(bool changed) {
+// A settlement that holds; `changed` tells whether it altered the shard.
+operation_applier::apply_result Recorded(bool changed) {
   return {settle_effect::kRecorded, changed};
 }
 
 replay ReplayOf(const ledger_entry& entry) {
-  const auto code = entry.answer.kept != 0
+  const auto code = entry.response.content_recorded != 0
                         ? result_code::kReplayed
                         : result_code::kAnswerTooLargeToRecord;
-  return {entry.answer, code, !entry.settled_by.empty()};
+  return {entry.response, code, !entry.settled_by.empty()};
 }
 
 }  // namespace
 
-shard_judge::judgement shard_judge::operator()(
+operation_applier::apply_result operation_applier::operator()(
     const reserve_operation& operation) {
   const auto& ticket = operation.ticket;
   const auto* entry = Find(ticket.service, ticket.key);
-  // A forwarded ask that was under way for so long that its holder has given
-  // up: nobody would dispatch it, and it would end in doubt.
+  // A forwarded request was delayed for so long that its holder has released
+  // the reservation in the meantime: no process would dispatch it, and it would
+  // end in doubt.
   if (entry != nullptr && entry->nonce == ticket.nonce &&
       entry->state == reservation_state::kReleased) {
     return Refuse(result_code::kLedgerUnavailable);
   }
   if (entry == nullptr || entry->state == reservation_state::kReleased)
     return InsertReserved(ticket);
-  // The answer to the write was lost, but it took effect: the nonce is ours.
-  // Without this the holder would take its own reservation for another's and
-  // leave it in doubt; without reading at all it might dispatch on a write
-  // that never happened.
+  // The response to the write was lost, but the write took effect, as the nonce
+  // shows. Without this check the holder would take its own reservation for
+  // that of another entry and leave it in doubt; without reading back at all,
+  // it might dispatch on the strength of a write that never happened.
   if (entry->nonce == ticket.nonce &&
       entry->state == reservation_state::kReserved) {
     return {reserved{ticket}, false, true};
   }
-  return JudgeRepeat(*entry, operation);
+  return ApplyRepeat(*entry, operation);
 }
 
-shard_judge::judgement shard_judge::JudgeRepeat(
+operation_applier::apply_result operation_applier::ApplyRepeat(
     const ledger_entry& entry,
     const reserve_operation& operation) const {
-  // A caller's program that hands out one key twice would otherwise be given
-  // the answer to another request and believe its own had run.
+  // A caller that assigns one key to two different requests would otherwise get
+  // the response to the other request and believe that its own had been
+  // executed.
   if (entry.request_digest != operation.ticket.request_digest)
     return Refuse(result_code::kKeyReused);
   if (entry.state == reservation_state::kDone)
     return {ReplayOf(entry), false, true};
   if (IsInDoubt(entry, context_))
     return {in_doubt{}};
-  const auto left = std::chrono::duration_cast<milliseconds>(entry.doubt_after -
-                                                             context_.now);
-  // Half the time left: a run that ends early is found soon, and a long run
-  // is asked for a few times only.
-  return {in_progress{std::max(kShortestRetryAfter, left / 2)}};
+  const auto remaining = std::chrono::duration_cast<milliseconds>(
+      entry.in_doubt_after - context_.now);
+  // Suggests half of the time left until the reservation is in doubt: the end
+  // of a short execution is noticed soon, and a long execution causes only a
+  // few repeats.
+  return {in_progress{std::max(kMinRetryAfter, remaining / 2)}};
 }
 
-shard_judge::judgement shard_judge::InsertReserved(
+operation_applier::apply_result operation_applier::InsertReserved(
     const reservation_ticket& ticket) {
   auto entry = EntryOf(ticket, reservation_state::kReserved, context_.now);
   const auto old = shard_.entries_.find(std::pair(ticket.service, ticket.key));
   if (old != shard_.entries_.end())
     shard_.Erase(old);
-  ledger_shard measured;
-  measured.Insert(entry);
-  // Load: more requests an hour than the shard was sized for. A value that
-  // the platform refuses would stop completions too, so that runs end in
-  // doubt; refusing new work keeps room for settling what is there.
-  if (!shard_.MakeRoom(measured.bytes()))
+  ledger_shard size_probe;
+  size_probe.Insert(entry);
+  // Under a load of more requests per hour than the shard is sized for,
+  // refusing new reservations keeps space for settling the existing ones.
+  // Otherwise the value would outgrow what the platform accepts, completions
+  // would fail too, and their reservations would end in doubt.
+  if (!shard_.EnsureSpace(size_probe.bytes()))
     return Refuse(result_code::kLedgerFull);
   shard_.Insert(std::move(entry));
   return {reserved{ticket}, true};
 }
 
-shard_judge::judgement shard_judge::operator()(
+operation_applier::apply_result operation_applier::operator()(
     const complete_operation& operation) {
   const auto& ticket = operation.ticket;
   auto* entry = Find(ticket.service, ticket.key);
-  // It ran: whatever was decided meanwhile, a further run must be prevented,
-  // unless another reservation already took the key after an operator's
-  // release. That run can't be called back; the caller of this logs it.
+  // The request was executed. Whatever was decided in the meantime, another
+  // execution has to be prevented, unless a different reservation has already
+  // taken the key after an operator's release. That execution can't be undone;
+  // ledger::Settle logs it.
   if (entry != nullptr && entry->nonce != ticket.nonce)
     return {settle_effect::kSuperseded};
   if (entry != nullptr && entry->state == reservation_state::kDone &&
-      entry->answer == operation.answer) {
+      entry->response == operation.response) {
     return Recorded(false);
   }
   auto done = entry != nullptr
@@ -118,41 +126,45 @@
                   : EntryOf(ticket, reservation_state::kDone, context_.now);
   done.state = reservation_state::kDone;
   done.changed_at = context_.now;
-  done.answer = operation.answer;
+  done.response = operation.response;
   if (entry != nullptr)
     shard_.Erase(shard_.entries_.find(std::pair(ticket.service, ticket.key)));
-  ledger_shard measured;
-  measured.Insert(done);
-  // That it ran matters more than what it answered.
-  if (!shard_.MakeRoom(measured.bytes())) {
-    done.answer = recorded_answer{};
-    done.answer.status = operation.answer.status;
+  ledger_shard size_probe;
+  size_probe.Insert(done);
+  // Recording that the request was executed is more important than recording
+  // the response.
+  if (!shard_.EnsureSpace(size_probe.bytes())) {
+    done.response = recorded_response{};
+    done.response.status = operation.response.status;
   }
   shard_.Insert(std::move(done));
   return Recorded(true);
 }
 
-shard_judge::judgement shard_judge::operator()(
+operation_applier::apply_result operation_applier::operator()(
     const release_operation& operation) {
   const auto& ticket = operation.ticket;
-  if (operation.leave_mark && Find(ticket.service, ticket.key) == nullptr) {
-    ledger_shard mark;
-    mark.Insert(EntryOf(ticket, reservation_state::kReleased, context_.now));
-    const bool room = shard_.MakeRoom(mark.bytes());
-    if (room)
-      shard_.Insert(mark.entries().begin()->second);
-    return Recorded(room);
+  if (operation.leave_tombstone &&
+      Find(ticket.service, ticket.key) == nullptr) {
+    ledger_shard tombstone;
+    tombstone.Insert(
+        EntryOf(ticket, reservation_state::kReleased, context_.now));
+    const bool fits = shard_.EnsureSpace(tombstone.bytes());
+    if (fits)
+      shard_.Insert(tombstone.entries().begin()->second);
+    return Recorded(fits);
   }
   return Settle(ticket, reservation_state::kReleased);
 }
 
-shard_judge::judgement shard_judge::operator()(
+operation_applier::apply_result operation_applier::operator()(
     const mark_unknown_operation& operation) {
   return Settle(operation.ticket, reservation_state::kUnknown);
 }
 
-shard_judge::judgement shard_judge::Settle(const reservation_ticket& ticket,
-                                           reservation_state state) {
+operation_applier::apply_result operation_applier::Settle(
+    const reservation_ticket& ticket,
+    reservation_state state) {
   auto* entry = Find(ticket.service, ticket.key);
   if (entry == nullptr || entry->nonce != ticket.nonce ||
       entry->state != reservation_state::kReserved) {
@@ -162,7 +174,7 @@
   return Recorded(true);
 }
 
-shard_judge::judgement shard_judge::operator()(
+operation_applier::apply_result operation_applier::operator()(
     const resolve_operation& operation) {
   auto* entry = Find(operation.service, operation.key);
   if (entry == nullptr)
@@ -170,12 +182,12 @@
   const auto state = operation.as == resolution::kDone
                          ? reservation_state::kDone
                          : reservation_state::kReleased;
-  // The same settlement again: the answer to the first was lost.
+  // The same decision again: the response to the first call was lost.
   if (entry->state == state && entry->settled_by == operation.operator_name &&
       entry->reason == operation.reason) {
     return Recorded(false);
   }
-  // A run that may still be going on is not for an operator to judge.
+  // An execution that may still be going on is not for an operator to settle.
   if (!IsInDoubt(*entry, context_))
     return Refuse(result_code::kLedgerKeySettled);
   auto settled = *entry;
@@ -188,13 +200,13 @@
   return Recorded(true);
 }
 
-ledger_entry* shard_judge::Find(const std::string& service,
-                                const std::string& key) {
+ledger_entry* operation_applier::Find(const std::string& service,
+                                      const std::string& key) {
   const auto found = shard_.entries_.find(std::pair(service, key));
   return found == shard_.entries_.end() ? nullptr : &found->second;
 }
 
-void shard_judge::SetState(ledger_entry& entry, reservation_state state) {
+void operation_applier::SetState(ledger_entry& entry, reservation_state state) {
   entry.state = state;
   entry.changed_at = context_.now;
 }
--- a/src/libsamphire/ledger/operation_forwarder.h
+++ b/src/libsamphire/ledger/operation_forwarder.h
@@ -10,13 +10,15 @@
 
 namespace samphire {
 
-// Asks the leader of a shard to commit an operation along with its own.
+// Forwards operations to the leader of their shard, which commits them together
+// with its own. Implementations are called from several threads.
 class operation_forwarder {
  public:
   virtual ~operation_forwarder() = default;
 
-  // Blocks for the leader's outcome. Without one, nothing is known: the
-  // operation may be committed now, later or never.
+  // Blocks until the leader's outcome arrives, or `deadline` at the latest. If
+  // nullopt is returned, the outcome is unknown: the leader may have committed
+  // the operation, may commit it later, or never. `leader` is a peer address.
   virtual std::optional<operation_outcome> Forward(
       const std::string& leader,
       const ledger_operation& operation,
--- a/src/libsamphire/ledger/peer_operation_forwarder.cc
+++ b/src/libsamphire/ledger/peer_operation_forwarder.cc
@@ -9,14 +9,17 @@
 
 namespace {
 
-// A batch at the leader takes some tens of milliseconds: one interval and two
-// calls. An answer that isn't there by then was likely lost.
-constexpr milliseconds kAskAgain{100};
-// After this time the entry goes to the platform itself, so a leader that
-// died costs a caller this much until membership has noticed.
-constexpr milliseconds kGiveUp{250};
-// How much longer the leader may commit what was asked.
-constexpr milliseconds kExpiry{500};
+// Time to wait for a response before the request is sent again. A batch at the
+// leader takes some tens of milliseconds (one batch interval and two calls to
+// the platform), so after this time the request or the response was probably
+// lost.
+constexpr milliseconds kResendInterval{100};
+// Maximum time to wait for the leader before the entry uses the platform
+// itself. This is the latency that a failed leader adds to a call until
+// membership detects the failure.
+constexpr milliseconds kForwardTimeout{250};
+// Time after sending during which the leader may still commit the operation.
+constexpr milliseconds kCommitExpiry{500};
 
 std::int64_t WallMs(wall_time time) {
   return std::chrono::duration_cast<milliseconds>(time.time_since_epoch())
@@ -42,33 +45,35 @@
     const std::string& leader,
     const ledger_operation& operation,
     time_point deadline) {
-  auto ask = ToAsk(operation);
-  if (!ask)
+  auto request = ToRequest(operation);
+  if (!request)
     return std::nullopt;
   {
     std::lock_guard guard(lock_);
-    ask->id = ++last_id_;
-    waiting_[ask->id];
+    request->id = ++last_id_;
+    outstanding_[request->id];
   }
-  ask->expires_at = WallMs(clock_.wall_now() + kExpiry);
-  const auto payload = EncodeBinary(*ask);
-  std::optional<forward_answer> answer;
-  // A large answer doesn't fit a datagram; it goes to the platform directly.
+  request->expires_at = WallMs(clock_.wall_now() + kCommitExpiry);
+  const auto payload = EncodeBinary(*request);
+  std::optional<forward_response> response;
+  // An operation with a large response doesn't fit a datagram; the entry
+  // commits it through the platform itself.
   if (payload.size() <= kMaxPeerPayload) {
-    answer = Exchange(leader, ask->id, payload,
-                      std::min(deadline, clock_.now() + kGiveUp));
+    response = Exchange(leader, request->id, payload,
+                        std::min(deadline, clock_.now() + kForwardTimeout));
   }
   {
     std::lock_guard guard(lock_);
-    waiting_.erase(ask->id);
+    outstanding_.erase(request->id);
   }
   metrics_.Count("ledger_forwards_total",
-                 answer ? "result=\"answered\"" : "result=\"unanswered\"");
-  return answer ? ToOutcome(*answer, operation) : std::nullopt;
+                 response ? "result=\"answered\"" : "result=\"unanswered\"");
+  return response ? ToOutcome(*response, operation) : std::nullopt;
 }
 
-// Asking twice is harmless: the leader knows the reservation by its nonce.
-std::optional<forward_answer> peer_operation_forwarder::Exchange(
+// Sending a request twice is harmless, because the leader recognizes the
+// reservation by its nonce.
+std::optional<forward_response> peer_operation_forwarder::Exchange(
     const std::string& leader,
     std::uint64_t id,
     const std::string& payload,
@@ -81,24 +86,26 @@
     guard.lock();
     if (!sent)
       return std::nullopt;
-    const auto wait = std::min<duration>(kAskAgain, deadline - clock_.now());
-    const auto& slot = waiting_.at(id);
-    if (answered_.wait_for(guard, wait, [&slot] { return slot.has_value(); }))
-      return slot;
+    const auto wait =
+        std::min<duration>(kResendInterval, deadline - clock_.now());
+    const auto& received = outstanding_.at(id);
+    if (response_arrived_.wait_for(
+            guard, wait, [&received] { return received.has_value(); }))
+      return received;
   }
   return std::nullopt;
 }
 
 void peer_operation_forwarder::Receive(const peer_message& message) {
-  auto answer = DecodeBinary<forward_answer>(message.payload);
-  if (!answer)
+  auto response = DecodeBinary<forward_response>(message.payload);
+  if (!response)
     return metrics_.Count("ledger_forward_malformed_total");
   std::lock_guard guard(lock_);
-  const auto found = waiting_.find(answer->id);
-  if (found == waiting_.end())
+  const auto found = outstanding_.find(response->id);
+  if (found == outstanding_.end())
     return;
-  found->second = std::move(answer);
-  answered_.notify_all();
+  found->second = std::move(response);
+  response_arrived_.notify_all();
 }
 
 }  // namespace samphire
--- a/src/libsamphire/ledger/pending_operation.h
+++ b/src/libsamphire/ledger/pending_operation.h
@@ -12,8 +12,9 @@
 
 namespace samphire {
 
-// An operation that waits for its shard's next batch. Owned by the thread
-// that asked and by the batch, since either may leave first.
+// An operation that waits for its shard's next batch. Ownership is shared by
+// the requesting thread and the batch, since either may finish first. All
+// fields except `operation` and `deadline` are guarded by the committer's lock.
 struct pending_operation
     : boost::intrusive_ref_counter<pending_operation>,
       boost::intrusive::list_base_hook<
@@ -23,9 +24,10 @@
 
   ledger_operation operation;
   time_point deadline;
+  // Set when the batch ends.
   std::optional<operation_outcome> outcome;
-  // The asking thread has gone with the answer "not run".
-  bool abandoned = false;
+  // The requesting thread has returned "not run" because the deadline passed.
+  bool expired = false;
 };
 
 using pending_operation_ptr = boost::intrusive_ptr<pending_operation>;
--- a/src/libsamphire/ledger/recorded_header.h
+++ b/src/libsamphire/ledger/recorded_header.h
@@ -7,7 +7,7 @@
 
 namespace samphire {
 
-// One header of a recorded answer.
+// One header of a recorded response.
 struct recorded_header {
   std::string name;
   std::string value;
@@ -16,6 +16,7 @@
 
   template <typename Archive>
   void serialize(Archive& archive) {
+    // Bounds in bytes.
     archive(Bounded<255>(name), Bounded<1024>(value));
   }
 };
--- a/src/libsamphire/ledger/reservation_holder.h
+++ b/src/libsamphire/ledger/reservation_holder.h
@@ -8,9 +8,12 @@
 
 namespace samphire {
 
-// The one process that may dispatch the request of a reservation.
+// The process that holds a reservation: the only one that may dispatch its
+// request.
 struct reservation_holder {
   std::string instance;
+  // Differs between processes that run under the same instance name one after
+  // another.
   std::uint64_t incarnation = 0;
 
   bool operator==(const reservation_holder&) const = default;
--- a/src/libsamphire/ledger/reservation_nonce.h
+++ b/src/libsamphire/ledger/reservation_nonce.h
@@ -6,8 +6,8 @@
 
 namespace samphire {
 
-// Tells one reservation from every other: a random number of the process and
-// a count within it.
+// Identifies one reservation uniquely across all entries: a random number of
+// the process and a counter within it.
 struct reservation_nonce {
   std::uint64_t process = 0;
   std::uint64_t count = 0;
--- a/src/libsamphire/ledger/reservation_outcome.h
+++ b/src/libsamphire/ledger/reservation_outcome.h
@@ -6,7 +6,7 @@
 
 #include "base/clock_source.h"
 #include "base/result_code.h"
-#include "ledger/recorded_answer.h"
+#include "ledger/recorded_response.h"
 #include "ledger/reservation_ticket.h"
 
 namespace samphire {
@@ -16,29 +16,34 @@
   reservation_ticket ticket;
 };
 
-// The request ran before. `code` is kReplayed, or kAnswerTooLargeToRecord
-// when only the status is known.
+// The request was executed before. `code` is kReplayed, or
+// kAnswerTooLargeToRecord if only the status of the response is known.
 struct replay {
-  recorded_answer answer;
+  recorded_response response;
   result_code code = result_code::kReplayed;
-  // An operator said so; there is no answer of the run itself.
+  // Whether an operator declared the request executed; then there is no
+  // response of the target.
   bool settled_by_operator = false;
 };
 
-// The request is running, here or at another entry.
+// The request is being executed, by this or another entry.
 struct in_progress {
+  // Suggested wait before the caller retries.
   milliseconds retry_after{0};
 };
 
-// Whether the request ran is not known; an operator has to settle it.
+// It is unknown whether the request was executed; an operator has to settle it.
 struct in_doubt {};
 
-// Not run, and nothing reserved that could run.
+// The request was not executed, and no reservation exists that would allow it
+// to be.
 struct refused {
   result_code code = result_code::kLedgerUnavailable;
+  // Explanation for logs; may be empty.
   std::string detail;
 };
 
+// The outcome of ledger::Reserve.
 using reservation_outcome =
     std::variant<reserved, replay, in_progress, in_doubt, refused>;
 
--- a/src/libsamphire/ledger/reservation_request.h
+++ b/src/libsamphire/ledger/reservation_request.h
@@ -7,11 +7,14 @@
 
 namespace samphire {
 
-// A request that may run once at most and asks to be run now.
+// Asks for the right to execute a request that may be executed at most once.
+// `key` is its idempotency key.
 struct reservation_request {
   std::string service;
   std::string key;
+  // Digest of method, path and body.
   std::string request_digest;
+  // On this process's monotonic clock: the request must be dispatched before.
   time_point deadline;
 };
 
--- a/src/libsamphire/ledger/reservation_state.h
+++ b/src/libsamphire/ledger/reservation_state.h
@@ -7,17 +7,19 @@
 
 namespace samphire {
 
+// State of a stored reservation. The values are part of the stored format.
 enum class reservation_state : std::uint8_t {
-  // The holder may dispatch, or has.
+  // The holder may dispatch the request or has dispatched it.
   kReserved,
-  // It really did not run: another try may.
+  // The request was certainly not executed; it may be reserved again.
   kReleased,
-  // It ran, and its answer is replayed to a repeat.
+  // The request was executed; repeats get the recorded response.
   kDone,
-  // Whether it ran is not known: an operator settles it.
+  // It is unknown whether the request was executed; an operator settles it.
   kUnknown,
 };
 
+// Names in the operator API and logs.
 inline constexpr enum_names<reservation_state, 4> kReservationStateNames{{
     {reservation_state::kReserved, "reserved"},
     {reservation_state::kReleased, "released"},
--- a/src/libsamphire/ledger/reservation_ticket.h
+++ b/src/libsamphire/ledger/reservation_ticket.h
@@ -9,14 +9,17 @@
 
 namespace samphire {
 
-// The right to dispatch a reserved request, before `dispatch_before` only.
+// The right to dispatch a reserved request, valid only before
+// `dispatch_before`.
 struct reservation_ticket {
   std::string service;
   std::string key;
   std::string request_digest;
   reservation_nonce nonce;
   reservation_holder holder;
-  wall_time doubt_after;
+  // Time of day from which other entries treat the unsettled reservation as in
+  // doubt.
+  wall_time in_doubt_after;
   // On the holder's monotonic clock.
   time_point dispatch_before;
 
--- a/src/libsamphire/ledger/resolution.h
+++ b/src/libsamphire/ledger/resolution.h
@@ -5,7 +5,8 @@
 
 namespace samphire {
 
-// How an operator settles a reservation in doubt.
+// How an operator settles a reservation in doubt: the request was executed, or
+// it was not and may be reserved again.
 enum class resolution { kDone, kReleased };
 
 inline constexpr enum_names<resolution, 2> kResolutionNames{{
--- a/src/libsamphire/ledger/settle_effect.h
+++ b/src/libsamphire/ledger/settle_effect.h
@@ -5,16 +5,19 @@
 
 namespace samphire {
 
-// What became of a completion, release or mark of a reservation.
+// The effect of completing or releasing a reservation or marking it unknown.
 enum class settle_effect {
-  // The platform holds it.
+  // The settlement is stored in the platform.
   kRecorded,
-  // The platform couldn't be written; it is kept and tried again.
+  // The platform could not be written. The settlement is kept in memory and
+  // retried.
   kPending,
-  // The reservation is another's by now, since an operator released it.
+  // Another reservation holds the key by now, because an operator released this
+  // one.
   kSuperseded,
 };
 
+// Names in metrics.
 inline constexpr enum_names<settle_effect, 3> kSettleEffectNames{{
     {settle_effect::kRecorded, "recorded"},
     {settle_effect::kPending, "pending"},
--- a/src/libsamphire/ledger/shard_batch.cc
+++ b/src/libsamphire/ledger/shard_batch.cc
@@ -9,15 +9,17 @@
 
 namespace {
 
-constexpr milliseconds kFirstPause{2};
-constexpr milliseconds kLongestPause{200};
-
-// Half to the whole of `longest`: several entries that met in a conflict or
-// an outage would otherwise meet again at every try.
-duration Jittered(duration longest) {
+// Bounds on the backoff between attempts, before jitter.
+constexpr milliseconds kInitialBackoff{2};
+constexpr milliseconds kMaxBackoff{200};
+
+// Returns a random duration between half of `max_backoff` and all of it.
+// Without jitter, entries that hit the same conflict or outage would collide
+// again on every attempt.
+duration WithJitter(duration max_backoff) {
   thread_local std::minstd_rand random{std::random_device{}()};
-  std::uniform_int_distribution<duration::rep> pick(longest.count() / 2,
-                                                    longest.count());
+  std::uniform_int_distribution<duration::rep> pick(max_backoff.count() / 2,
+                                                    max_backoff.count());
   return duration(pick(random));
 }
 
@@ -34,113 +36,119 @@
       operations_(std::move(operations)),
       deadline_(deadline) {}
 
-// The limit on tries is for a shard that many entries write at once: beyond
-// it the batch is refused as not run rather than adding to the contention.
+// The limit on attempts protects a shard that many entries write at once:
+// beyond it, the batch is refused as not run instead of adding to the
+// contention.
 std::vector<operation_outcome> shard_batch::Run() {
   for (int attempt = 0; attempt < options_.max_attempts; ++attempt) {
     if (attempt > 0) {
-      PauseBefore(attempt);
+      BackOffBefore(attempt);
       if (clock_.now() >= deadline_)
         break;
     }
-    const auto next = Try();
+    const auto next = Attempt();
     if (next == step::kDone)
       return std::move(outcomes_);
-    if (next == step::kGiveUp)
+    if (next == step::kAbort)
       break;
   }
-  return Refusals();
+  return RefuseAll();
 }
 
-shard_batch::step shard_batch::Try() {
-  if (store_.known() == nullptr) {
+shard_batch::step shard_batch::Attempt() {
+  if (store_.cached() == nullptr) {
     const auto loaded = store_.Load();
     if (!loaded)
-      return Fail(loaded.error());
-    fresh_ = true;
+      return HandleFailure(loaded.error());
+    read_by_this_batch_ = true;
   }
-  return Judge();
+  return Evaluate();
 }
 
-shard_batch::step shard_batch::Judge() {
-  const auto& known = *store_.known();
-  const judge_context context{clock_.wall_now(), options_.retention,
-                              options_.self, options_.holder_gone};
-  ledger_shard next = known.shard;
+shard_batch::step shard_batch::Evaluate() {
+  const auto& cached = *store_.cached();
+  const apply_context context{clock_.wall_now(), options_.retention,
+                              options_.self, options_.holder_failed};
+  ledger_shard next = cached.shard;
   next.Compact(context);
   outcomes_.clear();
   bool changed = false;
-  bool stale = false;
+  bool needs_fresh_read = false;
   for (const auto& operation : operations_) {
-    auto judged = next.Apply(operation, context);
-    changed = changed || judged.changed || NeedsFence(operation);
-    stale = stale || (!judged.changed && !judged.final_outcome);
-    outcomes_.push_back(std::move(judged.outcome));
+    auto applied = next.Apply(operation, context);
+    changed = changed || applied.changed || NeedsFence(operation);
+    needs_fresh_read =
+        needs_fresh_read || (!applied.changed && !applied.final_outcome);
+    outcomes_.push_back(std::move(applied.outcome));
   }
   if (changed)
     return Write(std::move(next));
-  // Another entry may have changed the shard since this one last read it. A
-  // write proves the state it was judged on; without a write only a read does.
-  // Otherwise a caller would be sent away for work that has long been done.
-  if (stale && !fresh_) {
-    store_.Forget();
+  // Another entry may have changed the shard since it was last read. A
+  // successful write proves that the state it is based on was current; without
+  // a write, only a read does. Otherwise a caller might be told "in progress"
+  // for a request that was completed long ago.
+  if (needs_fresh_read && !read_by_this_batch_) {
+    store_.Invalidate();
     const auto loaded = store_.Load();
     if (!loaded)
-      return Fail(loaded.error());
-    fresh_ = true;
-    return Judge();
+      return HandleFailure(loaded.error());
+    read_by_this_batch_ = true;
+    return Evaluate();
   }
   return step::kDone;
 }
 
 shard_batch::step shard_batch::Write(ledger_shard next) {
-  const auto expected = store_.known()->version;
+  const auto expected = store_.cached()->version;
   const auto written = store_.Write(std::move(next));
-  fresh_ = false;
+  read_by_this_batch_ = false;
   if (written) {
-    // Any write ends the chance of an earlier one at a lower version.
+    // After any successful write, an earlier write conditional on a lower
+    // version can't take effect any more.
     uncertain_version_.reset();
     return step::kDone;
   }
   if (written.error().code == result_code::kStoreOutcomeUnknown)
     uncertain_version_ = expected;
-  return Fail(written.error());
+  return HandleFailure(written.error());
 }
 
-shard_batch::step shard_batch::Fail(const error& failure) {
+shard_batch::step shard_batch::HandleFailure(const error& failure) {
   failure_ = failure;
   switch (failure.code) {
     case result_code::kStoreConflict:
     case result_code::kStoreOutcomeUnknown:
-      return step::kAgain;
+      return step::kRetry;
     case result_code::kStoreUnreachable:
-      // An outage can last for hours: waiting in it would hold callers and
-      // threads for nothing. Only an open question is worth asking again.
-      return uncertain_version_ ? step::kAgain : step::kGiveUp;
+      // An outage can last for hours, and waiting for its end would block
+      // callers and threads. Only a write of unknown outcome justifies another
+      // attempt.
+      return uncertain_version_ ? step::kRetry : step::kAbort;
     default:
-      return step::kGiveUp;
+      return step::kAbort;
   }
 }
 
-// A lost request can still arrive, until something else is written: while the
-// shard has the version it asks for, an empty write shuts it out.
+// A write request that timed out can still reach the platform. While the shard
+// has the version that the request is conditional on, writing the shard, even
+// unchanged, makes the late request fail.
 bool shard_batch::NeedsFence(const ledger_operation& operation) const {
   const auto* release = std::get_if<release_operation>(&operation);
   return release != nullptr && release->fence_version &&
-         store_.known()->version <= *release->fence_version;
+         store_.cached()->version <= *release->fence_version;
 }
 
-void shard_batch::PauseBefore(int attempt) {
-  const auto longest =
-      std::min<duration>(kFirstPause * (1 << attempt), kLongestPause);
-  const auto pause = Jittered(longest);
+void shard_batch::BackOffBefore(int attempt) {
+  const auto max_backoff =
+      std::min<duration>(kInitialBackoff * (1 << attempt), kMaxBackoff);
+  const auto backoff = WithJitter(max_backoff);
   if (options_.sleep)
-    options_.sleep(pause);
+    options_.sleep(backoff);
   else
-    std::this_thread::sleep_for(pause);
+    std::this_thread::sleep_for(backoff);
 }
 
-std::vector<operation_outcome> shard_batch::Refusals() const {
+std::vector<operation_outcome> shard_batch::RefuseAll() const {
   const auto code = failure_.code == result_code::kStoreCorrupt
                         ? result_code::kStoreCorrupt
                         : result_code::kLedgerUnavailable;
--- a/src/libsamphire/ledger/shard_router.h
+++ b/src/libsamphire/ledger/shard_router.h
@@ -6,12 +6,15 @@
 
 namespace samphire {
 
-// Which entry commits for a shard while all goes well. Only a hint for low
-// contention: the version check of the platform is the fence.
+// Chooses the entry that commits for a shard in normal operation. Only a hint
+// that reduces contention: correctness rests on the platform's version check,
+// which fences off any other writer. Implementations are called from several
+// threads.
 class shard_router {
  public:
   virtual ~shard_router() = default;
-  // The peer address of the entry that leads `shard`; empty for this one.
+  // Returns the peer address of the entry that leads `shard`, or an empty
+  // string if this entry does.
   virtual std::string LeaderOf(std::uint32_t shard) const = 0;
 };
 
--- a/src/libsamphire/ledger/shard_store.cc
+++ b/src/libsamphire/ledger/shard_store.cc
@@ -15,11 +15,11 @@
     : store_(store), key_(std::move(key)), metrics_(registry) {}
 
 result<void> shard_store::Load() {
-  known_.reset();
+  cached_.reset();
   CountCall("get");
   auto object = store_.Get(key_);
   if (!object && object.error().code == result_code::kStoreNotFound) {
-    known_ = view{};
+    cached_ = versioned_shard{};
     return Success();
   }
   if (!object)
@@ -30,18 +30,18 @@
         {{"key", key_}, {"detail", shard.error().detail}});
     return shard.error();
   }
-  known_ = view{object.value().version, std::move(shard).value()};
+  cached_ = versioned_shard{object.value().version, std::move(shard).value()};
   return Success();
 }
 
 result<void> shard_store::Write(ledger_shard next) {
-  const auto expected = known_->version;
-  known_.reset();
+  const auto expected = cached_->version;
+  cached_.reset();
   CountCall("put");
   auto version = store_.Put(key_, EncodeShard(next), expected);
   if (!version)
     return version.error();
-  known_ = view{version.value(), std::move(next)};
+  cached_ = versioned_shard{version.value(), std::move(next)};
   return Success();
 }
 
--- a/src/libsamphire/ledger/unresolved_report.h
+++ b/src/libsamphire/ledger/unresolved_report.h
@@ -8,7 +8,8 @@
 
 namespace samphire {
 
-// What an operator has to settle, and shards that can't be read.
+// What operators have to attend to: reservations in doubt, and the object keys
+// of shards that can't be decoded.
 struct unresolved_report {
   std::vector<ledger_entry> entries;
   std::vector<std::string> corrupt_shards;
--- a/tests/ledger/ledger_fixture.h
+++ b/tests/ledger/ledger_fixture.h
@@ -12,21 +12,25 @@
 
 namespace samphire {
 
-// Ledgers of several entries over one platform, in simulated time.
+// Creates ledgers of several entries over one fake platform, in simulated time.
 struct ledger_fixture {
+  // Starts the ledger of one process. The overrides replace the fixture's own
+  // store and router.
   std::unique_ptr<ledger> Open(const std::string& instance,
                                std::uint64_t incarnation = 1,
-                               object_store* over = nullptr,
-                               const shard_router* by = nullptr,
+                               object_store* object_store_override = nullptr,
+                               const shard_router* router_override = nullptr,
                                operation_forwarder* forwarder = nullptr) {
     ledger_options options;
     options.self = {instance, incarnation};
     options.shards = 2;
     options.sleep = [this](duration pause) { clock.Advance(pause); };
-    return std::make_unique<ledger>(over != nullptr ? *over : store,
-                                    by != nullptr ? *by : router, clock,
-                                    registry, options, forwarder);
+    return std::make_unique<ledger>(
+        object_store_override != nullptr ? *object_store_override : store,
+        router_override != nullptr ? *router_override : router, clock, registry,
+        options, forwarder);
   }
+  // Creates a request with a deadline 1000 ms from now.
   reservation_request Request(const std::string& key,
                               const std::string& digest = "d") {
     return {"claims-desk", key, digest, clock.now() + milliseconds(1000)};
@@ -38,7 +42,8 @@
   metrics registry;
 };
 
-inline recorded_answer Answer(const std::string& body) {
+// Creates a response of the target.
+inline recorded_response Response(const std::string& body) {
   return {201, {{"Content-Type", "text/plain"}}, body};
 }
 
@@ -47,6 +52,7 @@
   return std::holds_alternative<T>(outcome);
 }
 
+// Returns the code of a refusal, or kOk for any other outcome.
 inline result_code RefusalOf(const reservation_outcome& outcome) {
   const auto* refusal = std::get_if<refused>(&outcome);
   return refusal == nullptr ? result_code::kOk : refusal->code;
--- a/tests/ledger/ledger_forward_test.cc
+++ b/tests/ledger/ledger_forward_test.cc
@@ -12,20 +12,21 @@
 
 namespace {
 
-constexpr const char* kKey = "fleet-fleet-fleet-fleet-fleet-fleet";
+constexpr const char* kPeerKey = "fleet-fleet-fleet-fleet-fleet-fleet";
 
+// Router that names the same leader for every shard.
 struct fixed_router final : shard_router {
   std::string LeaderOf(std::uint32_t) const override { return leader; }
   std::string leader;
 };
 
-// One entry's ledger with what it needs to forward and to lead.
+// The ledger of one entry with real transport, forwarder and server.
 struct live_ledger {
   live_ledger(const std::string& name, object_store& store)
       : transport("127.0.0.1:0",
                   name,
                   1,
-                  peer_keys::Parse(kKey).value(),
+                  peer_keys::Parse(kPeerKey).value(),
                   clock,
                   registry),
         forwarder(transport, clock, registry),
@@ -45,6 +46,7 @@
     return entry.Reserve(
         {"s", key, "d", clock.now() + std::chrono::seconds(30)});
   }
+  // The number of writes to the platform by this entry.
   std::int64_t Puts() {
     return registry.counter("ledger_store_calls_total", "call=\"put\"");
   }
@@ -60,7 +62,7 @@
 
 }  // namespace
 
-TEST_CASE("a shard's leader commits for the others") {
+TEST_CASE("the leader of a shard commits for other entries") {
   fake_object_store store;
   live_ledger leader("leader", store);
   live_ledger follower("follower", store);
@@ -71,17 +73,18 @@
   CHECK(std::get<reserved>(outcome).ticket.holder.instance == "follower");
   CHECK(Is<in_progress>(follower.Reserve("k")));
   CHECK(follower.entry.Complete(std::get<reserved>(outcome).ticket,
-                                Answer("done")) == settle_effect::kRecorded);
+                                Response("done")) == settle_effect::kRecorded);
   const auto repeat = follower.Reserve("k");
   REQUIRE(Is<replay>(repeat));
-  CHECK(std::get<replay>(repeat).answer.body == "done");
+  CHECK(std::get<replay>(repeat).response.body == "done");
   CHECK(std::get<replay>(repeat).code == result_code::kReplayed);
   CHECK(follower.Puts() == 0);
 }
 
-// The leader of a shard dies, and membership hasn't noticed yet. Claims of
-// that shard still go through: their entry writes to the platform itself.
-TEST_CASE("without an answer of the leader an entry commits itself") {
+// The leader of a shard has failed, and membership hasn't detected it yet.
+// Requests of that shard must still succeed: their entry commits through the
+// platform itself.
+TEST_CASE("an entry commits directly when the leader does not respond") {
   fake_object_store store;
   live_ledger leader("leader", store);
   live_ledger follower("follower", store);
@@ -91,15 +94,15 @@
   REQUIRE(Is<reserved>(outcome));
   CHECK(follower.Puts() == 1);
   CHECK(follower.entry.Complete(std::get<reserved>(outcome).ticket,
-                                Answer(std::string(4000, 'x'))) ==
+                                Response(std::string(4000, 'x'))) ==
         settle_effect::kRecorded);
   CHECK(Is<replay>(leader.Reserve("k")));
 }
 
-// The platform is down for the leader and the asker alike. The caller is told
-// "not run"; the leader must not reserve it later, since nobody would run it
-// and its retry would be turned away.
-TEST_CASE("what was refused after being forwarded is free again") {
+// The platform is unavailable to the leader and the forwarding entry alike, so
+// the caller is told "not run". If the leader committed the reservation later,
+// no process would dispatch it and the caller's retry would be rejected.
+TEST_CASE("a reservation refused after forwarding can be made again") {
   fake_object_store store;
   live_ledger leader("leader", store);
   live_ledger follower("follower", store);
@@ -115,18 +118,20 @@
   CHECK(Is<reserved>(follower.Reserve("k")));
 }
 
-// A process asks in another's name, to release or complete what that one runs.
-TEST_CASE("nobody settles another's reservation by way of the leader") {
+// A process sends a request under the identity of another one, to release or
+// complete that one's reservation.
+TEST_CASE(
+    "the leader rejects settlements from a process other than the holder") {
   fake_object_store store;
   live_ledger leader("leader", store);
-  live_ledger stranger("stranger", store);
+  live_ledger impostor("stranger", store);
   auto outcome = leader.Reserve("k");
   auto ticket = std::get<reserved>(outcome).ticket;
-  const auto answer =
-      stranger.forwarder.Forward(leader.transport.address(),
+  const auto response =
+      impostor.forwarder.Forward(leader.transport.address(),
                                  release_operation{ticket, std::nullopt, false},
-                                 stranger.clock.now() + milliseconds(250));
-  CHECK_FALSE(answer);
+                                 impostor.clock.now() + milliseconds(250));
+  CHECK_FALSE(response);
   CHECK(leader.registry.counter("ledger_forwards_refused_total",
                                 "reason=\"not-holder\"") >= 1);
   CHECK(Is<in_progress>(leader.Reserve("k")));
--- a/tests/ledger/ledger_fuzz_test.cc
+++ b/tests/ledger/ledger_fuzz_test.cc
@@ -18,11 +18,13 @@
   ledger_entry entry;
   entry.service = "s";
   entry.key = key;
-  entry.doubt_after = entry.changed_at = wall_time(std::chrono::hours(500000));
-  entry.answer = {201, {{"Content-Type", "text/plain"}}, "body", 1};
+  entry.in_doubt_after = entry.changed_at =
+      wall_time(std::chrono::hours(500000));
+  entry.response = {201, {{"Content-Type", "text/plain"}}, "body", 1};
   return entry;
 }
 
+// Truncates the text at a random position or changes one random byte.
 std::string Damaged(std::string text) {
   const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
   if (*rc::gen::arbitrary<bool>())
@@ -33,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("a shard comes back from its bytes as it was") {
+TEST_CASE("a shard survives encoding and decoding unchanged") {
   CHECK(rc::check("round trip", [] {
     ledger_shard shard;
     for (const auto& key : *rc::gen::arbitrary<std::vector<std::string>>()) {
@@ -49,9 +51,9 @@
   }));
 }
 
-// A shard is overwritten or cut short in the platform. Were it read as another
-// shard, claims in it would run again.
-TEST_CASE("no damaged or arbitrary bytes are taken for a shard") {
+// A shard is overwritten or truncated in the platform. If it were decoded as a
+// different shard, requests recorded in it would be executed again.
+TEST_CASE("damaged or arbitrary bytes are not decoded as a shard") {
   CHECK(rc::check("damaged", [] {
     ledger_shard shard;
     shard.Insert(Entry("a"));
@@ -61,22 +63,23 @@
   CHECK(rc::check("arbitrary", [] { RC_ASSERT(!DecodeShard(Bytes())); }));
 }
 
-// A peer of another version, or one that was broken into, signs any bytes.
-TEST_CASE("the decoders of forwarded operations stand any bytes") {
-  CHECK(rc::check("asks and answers", [] {
-    forward_ask ask;
-    ask.entry = Entry("k");
+// A peer of another version, or a compromised one, may sign arbitrary bytes.
+TEST_CASE(
+    "the decoders of forwarded operations accept arbitrary bytes safely") {
+  CHECK(rc::check("requests and responses", [] {
+    forward_request request;
+    request.entry = Entry("k");
     const auto arbitrary = *rc::gen::arbitrary<bool>();
-    const auto one = arbitrary ? Bytes() : Damaged(EncodeBinary(ask));
+    const auto one = arbitrary ? Bytes() : Damaged(EncodeBinary(request));
     const auto two =
-        arbitrary ? Bytes() : Damaged(EncodeBinary(forward_answer{}));
-    const auto decoded = DecodeBinary<forward_ask>(one);
+        arbitrary ? Bytes() : Damaged(EncodeBinary(forward_response{}));
+    const auto decoded = DecodeBinary<forward_request>(one);
     if (decoded)
       static_cast<void>(ToOperation(*decoded));
-    const auto answer = DecodeBinary<forward_answer>(two);
-    if (answer) {
-      static_cast<void>(ToOutcome(*answer, ToOperation(ask)));
-      RC_ASSERT(answer->answer.body.size() <= kMaxRecordedBody);
+    const auto response = DecodeBinary<forward_response>(two);
+    if (response) {
+      static_cast<void>(ToOutcome(*response, ToOperation(request)));
+      RC_ASSERT(response->response.body.size() <= kMaxRecordedBody);
     }
   }));
 }
--- a/tests/ledger/ledger_history.h
+++ b/tests/ledger/ledger_history.h
@@ -9,70 +9,83 @@
 #include <string>
 #include <vector>
 
-#include "ledger/chaos_forwarder.h"
-#include "ledger/chaos_store.h"
+#include "ledger/faulty_forwarder.h"
+#include "ledger/faulty_store.h"
 #include "ledger/ledger_fixture.h"
 
 namespace samphire {
 
-// Several entries that work on a few keys over a faulty platform, all on one
-// thread by a seed, and the history of what they did.
+// Simulates several entries that reserve and execute requests for a few keys
+// over a faulty platform, all on one thread and reproducible by a seed. Records
+// what they did and checks it.
 class ledger_history {
  public:
-  ledger_history(std::uint64_t seed, chaos_store::missing_guard missing);
+  // `disabled` names a safeguard of the platform that is disabled.
+  ledger_history(std::uint64_t seed, faulty_store::disabled_guard disabled);
 
-  // Acts `steps` times, then heals everything and checks the history.
+  // Performs `steps` actions, then ends all faults and checks the history.
   void Run(int steps);
 
-  // What is wrong with the history; empty when nothing is.
+  // The violations found; empty if the history is correct.
   const std::set<std::string>& violations() const { return violations_; }
+  // Counts of what occurred, to show that the history is not trivial.
   int dispatches() const { return dispatches_; }
   int crashes() const { return crashes_; }
   int replays() const { return replays_; }
-  int doubts() const { return doubts_; }
+  int in_doubt_outcomes() const { return in_doubt_outcomes_; }
 
  private:
-  struct actor {
-    std::unique_ptr<ledger> entry;
+  // One entry; `in_call` is set while it performs an action.
+  struct simulated_entry {
+    std::unique_ptr<ledger> local_ledger;
     std::uint64_t incarnation = 1;
-    bool acting = false;
+    bool in_call = false;
   };
+  // What happened to one key.
   struct key_history {
     int runs = 0;
-    // Answers of runs that the entry lived to complete.
-    std::set<std::string> answers;
-    // An entry died with the answer unrecorded, or said that it didn't know.
-    bool may_doubt = false;
+    // Bodies of the responses that a surviving entry completed.
+    std::set<std::string> responses;
+    // Whether an entry crashed before it recorded a response, or marked the
+    // reservation unknown.
+    bool may_be_in_doubt = false;
   };
 
+  // Starts a process of entry `number`.
   std::unique_ptr<ledger> Open(std::size_t number, std::uint64_t incarnation);
+  // Commits a forwarded operation at entry `number`, unless it is in a call.
   std::optional<operation_outcome> CommitAt(const std::string& number,
                                             const ledger_operation& operation);
-  void Act();
-  void Crash(actor& subject);
-  void RunReserved(actor& subject,
-                   const std::string& key,
-                   const reservation_ticket& ticket);
-  void Judge(const std::string& key, const reservation_outcome& outcome);
-  void CheckEnd();
+  void Step();
+  // Replaces the entry's process by a new incarnation.
+  void Crash(simulated_entry& entry);
+  // Executes a reserved request, with random pauses and crashes.
+  void RunRequest(simulated_entry& entry,
+                  const std::string& key,
+                  const reservation_ticket& ticket);
+  // Counts the outcome and checks a replayed response.
+  void RecordOutcome(const std::string& key,
+                     const reservation_outcome& outcome);
+  void CheckFinalState();
+  // Returns a random number in [0, count).
   int Pick(int count) {
     return std::uniform_int_distribution<>(0, count - 1)(random_);
   }
 
   std::mt19937_64 random_;
-  ledger_fixture world_;
-  chaos_store store_;
-  chaos_forwarder forwarder_;
-  const first_leads leader_{true};
-  const first_leads follower_{false};
-  std::vector<actor> actors_;
+  ledger_fixture fixture_;
+  faulty_store store_;
+  faulty_forwarder forwarder_;
+  const first_entry_router leader_{true};
+  const first_entry_router follower_{false};
+  std::vector<simulated_entry> entries_;
   std::map<std::string, key_history> keys_;
   std::set<std::string> violations_;
   int depth_ = 0;
   int dispatches_ = 0;
   int crashes_ = 0;
   int replays_ = 0;
-  int doubts_ = 0;
+  int in_doubt_outcomes_ = 0;
 };
 
 }  // namespace samphire
--- a/tests/ledger/ledger_test.cc
+++ b/tests/ledger/ledger_test.cc
@@ -14,56 +14,59 @@
 
 using namespace samphire;
 
-TEST_CASE("a repeat through any entry gets the answer of the one run") {
-  ledger_fixture world;
-  const auto first = world.Open("a");
-  const auto second = world.Open("b");
-  const auto outcome = first->Reserve(world.Request("k"));
+TEST_CASE(
+    "a repeat through any entry gets the response of the single execution") {
+  ledger_fixture fixture;
+  const auto first = fixture.Open("a");
+  const auto second = fixture.Open("b");
+  const auto outcome = first->Reserve(fixture.Request("k"));
   REQUIRE(Is<reserved>(outcome));
-  CHECK(Is<in_progress>(second->Reserve(world.Request("k"))));
-  CHECK(first->Complete(std::get<reserved>(outcome).ticket, Answer("done")) ==
+  CHECK(Is<in_progress>(second->Reserve(fixture.Request("k"))));
+  CHECK(first->Complete(std::get<reserved>(outcome).ticket, Response("done")) ==
         settle_effect::kRecorded);
-  const auto repeat = second->Reserve(world.Request("k"));
+  const auto repeat = second->Reserve(fixture.Request("k"));
   REQUIRE(Is<replay>(repeat));
-  CHECK(std::get<replay>(repeat).answer.body == "done");
+  CHECK(std::get<replay>(repeat).response.body == "done");
   CHECK(std::get<replay>(repeat).code == result_code::kReplayed);
-  CHECK(RefusalOf(second->Reserve(world.Request("k", "other"))) ==
+  CHECK(RefusalOf(second->Reserve(fixture.Request("k", "other"))) ==
         result_code::kKeyReused);
 }
 
-TEST_CASE("what was released may run, what is too large keeps its status") {
-  ledger_fixture world;
-  const auto entry = world.Open("a");
-  auto outcome = entry->Reserve(world.Request("k"));
+TEST_CASE(
+    "a released key can be reserved; an oversized response keeps its status") {
+  ledger_fixture fixture;
+  const auto entry = fixture.Open("a");
+  auto outcome = entry->Reserve(fixture.Request("k"));
   entry->Release(std::get<reserved>(outcome).ticket);
-  outcome = entry->Reserve(world.Request("k", "another"));
+  outcome = entry->Reserve(fixture.Request("k", "another"));
   REQUIRE(Is<reserved>(outcome));
   entry->Complete(std::get<reserved>(outcome).ticket,
-                  Answer(std::string(kMaxRecordedBody + 1, 'x')));
-  const auto repeat = entry->Reserve(world.Request("k", "another"));
+                  Response(std::string(kMaxRecordedBody + 1, 'x')));
+  const auto repeat = entry->Reserve(fixture.Request("k", "another"));
   REQUIRE(Is<replay>(repeat));
   CHECK(std::get<replay>(repeat).code == result_code::kAnswerTooLargeToRecord);
-  CHECK(std::get<replay>(repeat).answer.status == 201);
-  CHECK(std::get<replay>(repeat).answer.body.empty());
+  CHECK(std::get<replay>(repeat).response.status == 201);
+  CHECK(std::get<replay>(repeat).response.body.empty());
 }
 
-// An entry dies between reserving a claim and recording its answer. The claim
-// may have been paid, so a caller who sends it again is told that this is not
-// known, through every entry, until an operator has settled it.
-TEST_CASE("a reservation whose holder died is never run again by itself") {
-  ledger_fixture world;
-  auto dying = world.Open("a");
-  REQUIRE(Is<reserved>(dying->Reserve(world.Request("k"))));
-  dying.reset();
-  const auto other = world.Open("b");
-  CHECK(Is<in_progress>(other->Reserve(world.Request("k"))));
-  // The instance came back as another process: the holder is surely gone.
-  CHECK(Is<in_doubt>(world.Open("a", 2)->Reserve(world.Request("k"))));
+// An entry fails between reserving a request and recording its response. The
+// target may have executed the request, so a caller that repeats it through any
+// entry is told that the outcome is unknown, until an operator settles it.
+TEST_CASE(
+    "a reservation whose holder failed is not executed again automatically") {
+  ledger_fixture fixture;
+  auto crashing = fixture.Open("a");
+  REQUIRE(Is<reserved>(crashing->Reserve(fixture.Request("k"))));
+  crashing.reset();
+  const auto other = fixture.Open("b");
+  CHECK(Is<in_progress>(other->Reserve(fixture.Request("k"))));
+  // A new process of the same instance proves that the holder has terminated.
+  CHECK(Is<in_doubt>(fixture.Open("a", 2)->Reserve(fixture.Request("k"))));
   CHECK(other->Resolve("claims-desk", "k", resolution::kDone, "ana", "seen")
             .error()
             .code == result_code::kLedgerKeySettled);
-  world.clock.Advance(std::chrono::hours(48));
-  CHECK(Is<in_doubt>(other->Reserve(world.Request("k"))));
+  fixture.clock.Advance(std::chrono::hours(48));
+  CHECK(Is<in_doubt>(other->Reserve(fixture.Request("k"))));
   REQUIRE(other->Unresolved().value().entries.size() == 1);
   CHECK(other->Resolve("claims-desk", "k", resolution::kReleased, "ana",
                        "target's log has no trace of it"));
@@ -71,167 +74,170 @@
   CHECK(record.entry.settled_by == "ana");
   CHECK(record.entry.reason == "target's log has no trace of it");
   CHECK(other->Unresolved().value().entries.empty());
-  CHECK(Is<reserved>(other->Reserve(world.Request("k"))));
+  CHECK(Is<reserved>(other->Reserve(fixture.Request("k"))));
 }
 
-TEST_CASE("an operator's settlement is checked and repeatable") {
-  ledger_fixture world;
-  const auto entry = world.Open("a");
+TEST_CASE("an operator's decision is validated and idempotent") {
+  ledger_fixture fixture;
+  const auto entry = fixture.Open("a");
   CHECK(
       entry->Resolve("s", "none", resolution::kDone, "ana", "r").error().code ==
       result_code::kUnknownLedgerKey);
-  const auto outcome = entry->Reserve(world.Request("k"));
+  const auto outcome = entry->Reserve(fixture.Request("k"));
   entry->MarkUnknown(std::get<reserved>(outcome).ticket);
-  CHECK(Is<in_doubt>(entry->Reserve(world.Request("k"))));
+  CHECK(Is<in_doubt>(entry->Reserve(fixture.Request("k"))));
   CHECK(entry->Resolve("claims-desk", "k", resolution::kDone, "ana", "")
             .error()
             .code == result_code::kValueOutOfRange);
-  world.store.LoseNextAnswers(1);
+  fixture.store.LoseNextAnswers(1);
   CHECK(entry->Resolve("claims-desk", "k", resolution::kDone, "ana", "paid"));
-  const auto repeat = entry->Reserve(world.Request("k"));
+  const auto repeat = entry->Reserve(fixture.Request("k"));
   REQUIRE(Is<replay>(repeat));
   CHECK(std::get<replay>(repeat).settled_by_operator);
 }
 
-// The platform is down when a claim arrives. The caller is refused at once and
-// told that nothing ran; the same claim goes through when it is back.
-TEST_CASE("with the platform down nothing is reserved") {
-  ledger_fixture world;
-  const auto entry = world.Open("a");
-  REQUIRE(Is<reserved>(entry->Reserve(world.Request("before"))));
-  world.store.SetDown(true);
-  const auto before = world.clock.now();
-  CHECK(RefusalOf(entry->Reserve(world.Request("k"))) ==
+// The platform is unavailable when a request arrives. The caller is refused at
+// once and told that nothing was executed; the same request succeeds when the
+// platform is available again.
+TEST_CASE("reservations are refused while the platform is unavailable") {
+  ledger_fixture fixture;
+  const auto entry = fixture.Open("a");
+  REQUIRE(Is<reserved>(entry->Reserve(fixture.Request("before"))));
+  fixture.store.SetDown(true);
+  const auto before = fixture.clock.now();
+  CHECK(RefusalOf(entry->Reserve(fixture.Request("k"))) ==
         result_code::kLedgerUnavailable);
-  CHECK(RefusalOf(world.Open("b")->Reserve(world.Request("k"))) ==
+  CHECK(RefusalOf(fixture.Open("b")->Reserve(fixture.Request("k"))) ==
         result_code::kLedgerUnavailable);
-  CHECK(world.clock.now() - before < milliseconds(100));
-  world.store.SetDown(false);
-  CHECK(Is<reserved>(entry->Reserve(world.Request("k"))));
+  CHECK(fixture.clock.now() - before < milliseconds(100));
+  fixture.store.SetDown(false);
+  CHECK(Is<reserved>(entry->Reserve(fixture.Request("k"))));
 }
 
-// The platform goes down while a target runs a claim. The caller still gets
-// the answer; a repeat is not run, and gets the same answer once the platform
-// is back and the entry has recorded it.
-TEST_CASE("a completion that can't be written is kept until it is") {
-  ledger_fixture world;
-  const auto entry = world.Open("a");
-  const auto other = world.Open("b");
-  const auto outcome = entry->Reserve(world.Request("k"));
-  world.store.SetDown(true);
-  CHECK(entry->Complete(std::get<reserved>(outcome).ticket, Answer("paid")) ==
+// The platform becomes unavailable while a target executes a request. The
+// caller still gets the response. A repeat is not executed, and gets the same
+// response once the platform is available and the entry has recorded it.
+TEST_CASE("a completion that can't be written is kept until it can") {
+  ledger_fixture fixture;
+  const auto entry = fixture.Open("a");
+  const auto other = fixture.Open("b");
+  const auto outcome = entry->Reserve(fixture.Request("k"));
+  fixture.store.SetDown(true);
+  CHECK(entry->Complete(std::get<reserved>(outcome).ticket, Response("paid")) ==
         settle_effect::kPending);
   for (int i = 0; i < 20; ++i) {
-    world.clock.Advance(milliseconds(500));
+    fixture.clock.Advance(milliseconds(500));
     entry->RetryPending();
   }
   CHECK(entry->pending() == 1);
-  world.store.SetDown(false);
-  CHECK(Is<in_doubt>(other->Reserve(world.Request("k"))));
-  world.clock.Advance(std::chrono::seconds(6));
+  fixture.store.SetDown(false);
+  CHECK(Is<in_doubt>(other->Reserve(fixture.Request("k"))));
+  fixture.clock.Advance(std::chrono::seconds(6));
   entry->RetryPending();
   CHECK(entry->pending() == 0);
-  CHECK(Is<replay>(other->Reserve(world.Request("k"))));
+  CHECK(Is<replay>(other->Reserve(fixture.Request("k"))));
 }
 
-// The answer to a reservation's write is lost, both ways: it took effect, or
-// it never arrived. The caller notices nothing, and the claim runs once.
-TEST_CASE("a lost answer is settled before anything is dispatched") {
-  ledger_fixture world;
-  const auto entry = world.Open("a");
-  REQUIRE(Is<reserved>(entry->Reserve(world.Request("warm"))));
-  world.store.LoseNextAnswers(1);
-  CHECK(Is<reserved>(entry->Reserve(world.Request("k1"))));
-  world.store.LoseNextRequests(1);
-  CHECK(Is<reserved>(entry->Reserve(world.Request("k2"))));
-  world.store.LoseNextAnswers(100);
-  CHECK(RefusalOf(entry->Reserve(world.Request("k3"))) == result_code::kOk);
-  world.store.LoseNextRequests(100);
-  CHECK(RefusalOf(entry->Reserve(world.Request("k4"))) ==
+// The response to the write of a reservation is lost, in both ways: the write
+// took effect, or its request never arrived. The caller notices neither, and
+// the request is executed once.
+TEST_CASE("a write of unknown outcome is clarified before dispatch") {
+  ledger_fixture fixture;
+  const auto entry = fixture.Open("a");
+  REQUIRE(Is<reserved>(entry->Reserve(fixture.Request("warm"))));
+  fixture.store.LoseNextAnswers(1);
+  CHECK(Is<reserved>(entry->Reserve(fixture.Request("k1"))));
+  fixture.store.LoseNextRequests(1);
+  CHECK(Is<reserved>(entry->Reserve(fixture.Request("k2"))));
+  fixture.store.LoseNextAnswers(100);
+  CHECK(RefusalOf(entry->Reserve(fixture.Request("k3"))) == result_code::kOk);
+  fixture.store.LoseNextRequests(100);
+  CHECK(RefusalOf(entry->Reserve(fixture.Request("k4"))) ==
         result_code::kLedgerUnavailable);
-  world.store.LoseNextRequests(0);
-  world.store.LoseNextAnswers(0);
+  fixture.store.LoseNextRequests(0);
+  fixture.store.LoseNextAnswers(0);
   CHECK(entry->pending() == 1);
   entry->RetryPending();
   CHECK(entry->pending() == 0);
-  CHECK(Is<reserved>(entry->Reserve(world.Request("k4"))));
+  CHECK(Is<reserved>(entry->Reserve(fixture.Request("k4"))));
 }
 
-// Another program overwrites a shard. Reading it as empty would run every
-// claim in it again, so all of them are refused and the object is left as is.
+// Another program overwrites a shard. If it were read as empty, every request
+// recorded in it would be executed again; so all of them are refused and the
+// object is left unchanged.
 TEST_CASE("a corrupt shard is refused and never overwritten") {
-  ledger_fixture world;
-  const auto entry = world.Open("a");
-  REQUIRE(Is<reserved>(entry->Reserve(world.Request("k"))));
+  ledger_fixture fixture;
+  const auto entry = fixture.Open("a");
+  REQUIRE(Is<reserved>(entry->Reserve(fixture.Request("k"))));
   const auto key = ShardKey(ShardOf("claims-desk", "k", 2));
-  const auto object = world.store.Get(key).value();
-  REQUIRE(world.store.Put(key, "garbage", object.version));
-  const auto other = world.Open("b");
-  CHECK(RefusalOf(other->Reserve(world.Request("k"))) ==
+  const auto object = fixture.store.Get(key).value();
+  REQUIRE(fixture.store.Put(key, "garbage", object.version));
+  const auto other = fixture.Open("b");
+  CHECK(RefusalOf(other->Reserve(fixture.Request("k"))) ==
         result_code::kStoreCorrupt);
-  CHECK(RefusalOf(entry->Reserve(world.Request("k"))) ==
+  CHECK(RefusalOf(entry->Reserve(fixture.Request("k"))) ==
         result_code::kStoreCorrupt);
-  CHECK(world.store.Get(key).value().value == "garbage");
+  CHECK(fixture.store.Get(key).value().value == "garbage");
   CHECK(other->Unresolved().value().corrupt_shards.size() == 1);
 }
 
-// A declaration with another number of shards reaches one entry before the
-// others. Were keys spread by it, the two would look for one claim in
-// different places and pay it twice.
-TEST_CASE("the platform's number of shards counts, not the declared one") {
-  ledger_fixture world;
-  REQUIRE(Is<reserved>(world.Open("a")->Reserve(world.Request("k"))));
+// A declaration with a different number of shards reaches one entry before the
+// others. If keys were distributed by it, the two entries would look for one
+// request in different shards and execute it twice.
+TEST_CASE("the stored number of shards overrides the declared one") {
+  ledger_fixture fixture;
+  REQUIRE(Is<reserved>(fixture.Open("a")->Reserve(fixture.Request("k"))));
   ledger_options options;
   options.self = {"b", 1};
   options.shards = 64;
-  ledger changed(world.store, world.router, world.clock, world.registry,
+  ledger changed(fixture.store, fixture.router, fixture.clock, fixture.registry,
                  options);
-  CHECK(Is<in_progress>(changed.Reserve(world.Request("k"))));
+  CHECK(Is<in_progress>(changed.Reserve(fixture.Request("k"))));
   CHECK(changed.shards() == 2);
 }
 
-TEST_CASE("old settled entries are dropped, unresolved ones stay") {
-  ledger_fixture world;
-  const auto entry = world.Open("a");
+TEST_CASE("settled entries expire after the retention, unresolved ones stay") {
+  ledger_fixture fixture;
+  const auto entry = fixture.Open("a");
   for (int i = 0; i < 20; ++i) {
     const auto outcome =
-        entry->Reserve(world.Request("done-" + std::to_string(i)));
-    entry->Complete(std::get<reserved>(outcome).ticket, Answer("x"));
+        entry->Reserve(fixture.Request("done-" + std::to_string(i)));
+    entry->Complete(std::get<reserved>(outcome).ticket, Response("x"));
     REQUIRE(Is<reserved>(
-        entry->Reserve(world.Request("doubt-" + std::to_string(i)))));
+        entry->Reserve(fixture.Request("doubt-" + std::to_string(i)))));
   }
-  world.clock.Advance(std::chrono::hours(2));
+  fixture.clock.Advance(std::chrono::hours(2));
   for (int i = 0; i < 4; ++i)
-    entry->Reserve(world.Request("later-" + std::to_string(i)));
+    entry->Reserve(fixture.Request("later-" + std::to_string(i)));
   CHECK(entry->Show("claims-desk", "done-3").error().code ==
         result_code::kUnknownLedgerKey);
   CHECK(entry->Unresolved().value().entries.size() == 20);
 }
 
-// More claims arrive within the retention than the shards hold. Further ones
-// are refused as not run, yet those reserved can still be completed, and no
-// value grows past what the platform takes.
-TEST_CASE("a full shard refuses new work and still takes completions") {
-  ledger_fixture world;
-  const auto entry = world.Open("a");
+// More requests arrive within the retention than the shards can hold. Further
+// ones are refused as not run, yet existing reservations can still be
+// completed, and no value outgrows what the platform accepts.
+TEST_CASE("a full shard refuses reservations and still accepts completions") {
+  ledger_fixture fixture;
+  const auto entry = fixture.Open("a");
   std::vector<reservation_ticket> tickets;
   auto code = result_code::kOk;
   for (int i = 0; code == result_code::kOk && i < 20000; ++i) {
     const auto key = std::string(250, 'k') + std::to_string(i);
-    const auto outcome = entry->Reserve(world.Request(key));
+    const auto outcome = entry->Reserve(fixture.Request(key));
     code = RefusalOf(outcome);
     if (Is<reserved>(outcome))
       tickets.push_back(std::get<reserved>(outcome).ticket);
   }
   CHECK(code == result_code::kLedgerFull);
-  CHECK(entry->Complete(tickets.front(), Answer(std::string(4000, 'x'))) ==
+  CHECK(entry->Complete(tickets.front(), Response(std::string(4000, 'x'))) ==
         settle_effect::kRecorded);
-  const auto objects = world.store.List("ledger/").value();
+  const auto objects = fixture.store.List("ledger/").value();
   for (const auto& object : objects)
     CHECK(object.value.size() < 600'000U);
 }
 
-TEST_CASE("threads of several entries dispatch each key once, in batches") {
+TEST_CASE("concurrent entries dispatch each key once") {
   fake_object_store store;
   local_shard_router router;
   system_clock_source clock;
@@ -262,7 +268,7 @@
         if (!Is<reserved>(outcome))
           continue;
         ++runs[k];
-        entry.Complete(std::get<reserved>(outcome).ticket, Answer("x"));
+        entry.Complete(std::get<reserved>(outcome).ticket, Response("x"));
       }
     });
   }
