--- a/bench/membership.cc
+++ b/bench/membership.cc
@@ -167,7 +167,7 @@
 
 // Returns the processor time for sealing and opening a datagram of usual size,
 // which the simulation leaves out.
-double SealAndOpenMicroseconds() {
+double SignAndVerifyMicroseconds() {
   const auto keys =
       peer_keys::Parse("0123456789abcdef0123456789abcdef").value();
   peer_envelope envelope;
@@ -177,8 +177,8 @@
   const double cpu = CpuSeconds();
   int opened = 0;
   for (int i = 0; i < kRounds; ++i) {
-    const auto datagram = Seal(envelope, "10.0.0.1:7000", keys);
-    opened += Open(datagram.value(), "10.0.0.1:7000", keys) ? 1 : 0;
+    const auto datagram = SignEnvelope(envelope, "10.0.0.1:7000", keys);
+    opened += VerifyEnvelope(datagram.value(), "10.0.0.1:7000", keys) ? 1 : 0;
   }
   return opened == kRounds ? (CpuSeconds() - cpu) * 1e6 / kRounds : 0;
 }
@@ -206,7 +206,7 @@
   }
   fmt::print(R"({{"seal_and_open_us":{:.1f}}})"
              "\n",
-             SealAndOpenMicroseconds());
+             SignAndVerifyMicroseconds());
   for (const auto& [name, points] :
        {std::pair("sent_bytes_per_s by nodes", &bytes),
         std::pair("cpu_percent by nodes", &cpu)}) {
--- a/bench/slow_store.h
+++ b/bench/slow_store.h
@@ -13,9 +13,13 @@
 
 namespace samphire {
 
-// The platform's conditional updates with a latency, counting calls.
+// An object_store in memory that delays every call by a fixed latency and
+// counts the calls and the bytes written. Supports only Get and Put, the calls
+// on which conditional updates are built; all others return kStoreRefused.
+// Thread-safe.
 class slow_store final : public object_store {
  public:
+  // Each Get and Put blocks for `latency` before it takes effect.
   explicit slow_store(milliseconds latency) : latency_(latency) {}
 
   result<store_object> Get(const std::string& key) override {
@@ -53,7 +57,9 @@
     return MakeError(result_code::kStoreRefused);
   }
 
+  // Number of Get and Put calls so far.
   int calls() const { return calls_; }
+  // Total size of the values of successful Put calls, in bytes.
   std::uint64_t bytes() const { return bytes_; }
 
  private:
--- a/src/libsamphire/gateway/peer_messenger.cc
+++ b/src/libsamphire/gateway/peer_messenger.cc
@@ -10,25 +10,25 @@
 
 namespace {
 
-constexpr std::array kLoanKinds = {message_kind::kLoanAsk,
-                                   message_kind::kLoanAnswer,
+constexpr std::array kLoanKinds = {message_kind::kLoanRequest,
+                                   message_kind::kLoanResponse,
                                    message_kind::kLoanReturn};
 
 struct kind_of_loan {
   message_kind operator()(const loan_request& /*message*/) const {
-    return message_kind::kLoanAsk;
+    return message_kind::kLoanRequest;
   }
   message_kind operator()(const loan_renewal& /*message*/) const {
-    return message_kind::kLoanAsk;
+    return message_kind::kLoanRequest;
   }
   message_kind operator()(const loan_grant& /*message*/) const {
-    return message_kind::kLoanAnswer;
+    return message_kind::kLoanResponse;
   }
   message_kind operator()(const loan_refusal& /*message*/) const {
-    return message_kind::kLoanAnswer;
+    return message_kind::kLoanResponse;
   }
   message_kind operator()(const loan_return_ack& /*message*/) const {
-    return message_kind::kLoanAnswer;
+    return message_kind::kLoanResponse;
   }
   message_kind operator()(const loan_return& /*message*/) const {
     return message_kind::kLoanReturn;
--- a/src/libsamphire/gateway/peer_post.cc
+++ b/src/libsamphire/gateway/peer_post.cc
@@ -41,9 +41,9 @@
   head.setKeepAlive(true);
   head.setContentLength(static_cast<std::streamsize>(body.size()));
   head.set(kPeerTokenHeader, signer.Sign({.method = "POST",
-                                          .target = path,
-                                          .receiver = peer,
-                                          .content = body}));
+                                          .request_target = path,
+                                          .receiver_address = peer,
+                                          .signed_content = body}));
   const caller_watch nobody;
   http_exchange exchange(pool, peer, nobody,
                          std::chrono::steady_clock::now() + timeout);
--- a/src/libsamphire/gateway/peer_read.cc
+++ b/src/libsamphire/gateway/peer_read.cc
@@ -11,9 +11,9 @@
                                  time_point deadline) {
   BOOST_OUTCOME_TRY(body, request.ReadBody(limit, deadline));
   BOOST_OUTCOME_TRYV(signer.Verify({.method = request.getMethod(),
-                                    .target = request.getURI(),
-                                    .receiver = own_address,
-                                    .content = body},
+                                    .request_target = request.getURI(),
+                                    .receiver_address = own_address,
+                                    .signed_content = body},
                                    request.get(kPeerTokenHeader, "")));
   return body;
 }
--- a/src/libsamphire/gateway/peer_server.cc
+++ b/src/libsamphire/gateway/peer_server.cc
@@ -122,11 +122,11 @@
   out.head.set(kHeaderHomeRegion, request.home_region);
   out.head.set(kPeerTokenHeader,
                signer_.Sign({.method = request.method,
-                             .target = out.head.getURI(),
-                             .receiver = peer.peer_address,
-                             .content = PassedContent(request.home_region,
-                                                      request.idempotency_key,
-                                                      request.body)}));
+                             .request_target = out.head.getURI(),
+                             .receiver_address = peer.peer_address,
+                             .signed_content = PassedContent(
+                                 request.home_region, request.idempotency_key,
+                                 request.body)}));
   return out;
 }
 
--- a/src/libsamphire/gateway/service_handler.cc
+++ b/src/libsamphire/gateway/service_handler.cc
@@ -63,9 +63,9 @@
                                          const front_request& request) {
   const peer_request signed_part{
       .method = request.getMethod(),
-      .target = request.getURI(),
-      .receiver = context_.peer_address,
-      .content =
+      .request_target = request.getURI(),
+      .receiver_address = context_.peer_address,
+      .signed_content =
           PassedContent(read.home_region, read.idempotency_key, read.body)};
   auto sender =
       context_.signer.Verify(signed_part, request.get(kPeerTokenHeader, ""));
--- a/src/libsamphire/ledger/forward_message.h
+++ b/src/libsamphire/ledger/forward_message.h
@@ -20,8 +20,8 @@
   kMarkUnknown
 };
 
-// Payload of message_kind::kLedgerAsk: asks the leader of a shard to commit one
-// operation on behalf of the sender. Fields are serialized in the order of
+// Payload of message_kind::kLedgerRequest: asks the leader of a shard to commit
+// one operation on behalf of the sender. Fields are serialized in the order of
 // their declaration.
 struct forward_request {
   // Chosen by the sender and echoed in the response; unique within the sending
@@ -56,7 +56,7 @@
   kSuperseded
 };
 
-// Payload of message_kind::kLedgerAnswer: the outcome of the forwarded
+// Payload of message_kind::kLedgerResponse: the outcome of the forwarded
 // operation with the same `id`.
 struct forward_response {
   std::uint64_t id = 0;
--- a/src/libsamphire/ledger/forward_server.cc
+++ b/src/libsamphire/ledger/forward_server.cc
@@ -36,12 +36,12 @@
         [this](const std::stop_token& stop) { RunWorker(stop); });
   }
   transport_.OnMessage(
-      message_kind::kLedgerAsk,
+      message_kind::kLedgerRequest,
       [this](const peer_message& message) { Receive(message); });
 }
 
 forward_server::~forward_server() {
-  transport_.OnMessage(message_kind::kLedgerAsk, nullptr);
+  transport_.OnMessage(message_kind::kLedgerRequest, nullptr);
 }
 
 void forward_server::Receive(const peer_message& message) {
@@ -118,13 +118,13 @@
     auto payload = EncodeBinary(response);
     // A replay that doesn't fit a peer message is answered with a refusal, upon
     // which the requesting entry reads it from the platform.
-    if (payload.size() > kMaxPeerPayload) {
+    if (payload.size() > kMaxPeerPayloadBytes) {
       forward_response too_large;
       too_large.id = response.id;
       payload = EncodeBinary(too_large);
     }
-    const auto sent =
-        transport_.Send(requests[i].from, message_kind::kLedgerAnswer, payload);
+    const auto sent = transport_.Send(requests[i].from,
+                                      message_kind::kLedgerResponse, payload);
     metrics_.Count("ledger_forwards_served_total",
                    sent ? "result=\"answered\"" : "result=\"unsent\"");
   }
--- a/src/libsamphire/ledger/forward_server.h
+++ b/src/libsamphire/ledger/forward_server.h
@@ -24,7 +24,7 @@
 // transport's receiving thread, which only queues them.
 class forward_server {
  public:
-  // Registers for message_kind::kLedgerAsk and starts `threads` workers, so
+  // Registers for message_kind::kLedgerRequest and starts `threads` workers, so
   // that up to that many shards are committed at once.
   forward_server(ledger& local_ledger,
                  peer_transport& transport,
--- a/src/libsamphire/ledger/peer_operation_forwarder.cc
+++ b/src/libsamphire/ledger/peer_operation_forwarder.cc
@@ -33,12 +33,12 @@
                                                    metrics& registry)
     : transport_(transport), clock_(clock), metrics_(registry) {
   transport_.OnMessage(
-      message_kind::kLedgerAnswer,
+      message_kind::kLedgerResponse,
       [this](const peer_message& message) { Receive(message); });
 }
 
 peer_operation_forwarder::~peer_operation_forwarder() {
-  transport_.OnMessage(message_kind::kLedgerAnswer, nullptr);
+  transport_.OnMessage(message_kind::kLedgerResponse, nullptr);
 }
 
 std::optional<operation_outcome> peer_operation_forwarder::Forward(
@@ -58,7 +58,7 @@
   std::optional<forward_response> response;
   // An operation with a large response doesn't fit a datagram; the entry
   // commits it through the platform itself.
-  if (payload.size() <= kMaxPeerPayload) {
+  if (payload.size() <= kMaxPeerPayloadBytes) {
     response = Exchange(leader, request->id, payload,
                         std::min(deadline, clock_.now() + kForwardTimeout));
   }
@@ -82,7 +82,7 @@
   while (clock_.now() < deadline) {
     guard.unlock();
     const auto sent =
-        transport_.Send(leader, message_kind::kLedgerAsk, payload);
+        transport_.Send(leader, message_kind::kLedgerRequest, payload);
     guard.lock();
     if (!sent)
       return std::nullopt;
--- a/src/libsamphire/membership/membership_core_merge.cc
+++ b/src/libsamphire/membership/membership_core_merge.cc
@@ -150,7 +150,7 @@
   request.first_name_id = 1;
   request.last_name_id = 0;
   request.want_regions = 1;
-  Send(from.from, message_kind::kSyncAsk, request);
+  Send(from.from, message_kind::kSyncRequest, request);
 }
 
 // Gossip leaves a few members behind by chance, with contacts that may no
@@ -171,8 +171,8 @@
   for (const auto& region : stale_regions)
     request.stale_regions.push_back({region, regions_.Find(region)->as_of});
   std::uniform_int_distribution<std::size_t> pick(0, names.size() - 1);
-  Send(table_.Find(names[pick(random_)])->peer_address, message_kind::kSyncAsk,
-       request);
+  Send(table_.Find(names[pick(random_)])->peer_address,
+       message_kind::kSyncRequest, request);
 }
 
 void membership_core::SendNewerRegions(
@@ -205,7 +205,7 @@
     request.first_name_id = request.checksums.front().name_id;
     request.last_name_id = request.checksums.back().name_id;
   }
-  Send(address, message_kind::kSyncAsk, request);
+  Send(address, message_kind::kSyncRequest, request);
 }
 
 }  // namespace samphire
--- a/src/libsamphire/membership/membership_core_receive.cc
+++ b/src/libsamphire/membership/membership_core_receive.cc
@@ -32,7 +32,7 @@
       return HandleProbeRequest(message, now);
     case message_kind::kJoin:
       return HandleJoin(message, now);
-    case message_kind::kSyncAsk:
+    case message_kind::kSyncRequest:
       return HandleSyncRequest(message, now);
     case message_kind::kGossip:
     case message_kind::kRegionDigest:
--- a/src/libsamphire/membership/membership_message.h
+++ b/src/libsamphire/membership/membership_message.h
@@ -45,7 +45,7 @@
   }
 };
 
-// One member in a kSyncAsk: a hash of its name, and a checksum of what the
+// One member in a kSyncRequest: a hash of its name, and a checksum of what the
 // sender knows of it.
 struct member_checksum {
   std::uint32_t name_id = 0;
@@ -57,10 +57,10 @@
   }
 };
 
-// Bounds the member checksums in one kSyncAsk, 8 bytes each.
+// Bounds the member checksums in one kSyncRequest, 8 bytes each.
 inline constexpr std::size_t kMaxMemberChecksums = 120;
 
-// One region in a kSyncAsk: the time of day, in milliseconds, of the newest
+// One region in a kSyncRequest: the time of day, in milliseconds, of the newest
 // digest that the sender has of it.
 struct region_version {
   std::string region;
@@ -72,10 +72,10 @@
   }
 };
 
-// Bounds the region versions in one kSyncAsk.
+// Bounds the region versions in one kSyncRequest.
 inline constexpr std::size_t kMaxRegionVersions = 4;
 
-// kSyncAsk: requests the records of all members whose name hash is from
+// kSyncRequest: requests the records of all members whose name hash is from
 // `first_name_id` to `last_name_id` and whose checksum is missing from
 // `checksums` or differs. The response is kGossip. An empty range
 // (`first_name_id` above `last_name_id`) requests no members.
--- a/src/libsamphire/peer/message_digest.h
+++ b/src/libsamphire/peer/message_digest.h
@@ -7,12 +7,14 @@
 
 namespace samphire {
 
-inline constexpr std::size_t kDigestSize = 32;
+// Size of an HMAC-SHA256 digest, in bytes.
+inline constexpr std::size_t kDigestBytes = 32;
 
-// HMAC-SHA256, as raw bytes.
-std::string KeyedDigest(std::string_view key, std::string_view message);
+// Returns the HMAC-SHA256 of `message` under `key`, as kDigestBytes raw bytes.
+std::string HmacSha256(std::string_view key, std::string_view message);
 
-// Compares in a time that tells nothing about where the two differ.
+// Compares in a time that does not depend on the position of the first
+// difference. Strings of different lengths are unequal at once.
 bool EqualInConstantTime(std::string_view left, std::string_view right);
 
 }  // namespace samphire
--- a/src/libsamphire/peer/message_kind.h
+++ b/src/libsamphire/peer/message_kind.h
@@ -7,58 +7,61 @@
 
 namespace samphire {
 
-// What a peer message is about. Numbers go over the wire: new ones are added
-// at the end.
+// The kind of a peer message, which determines the type of its payload and the
+// handler that receives it. The numbers are sent on the wire: new kinds are
+// added at the end.
 enum class message_kind : std::uint8_t {
   kProbe,
   kProbeAck,
   kProbeRequest,
   kGossip,
   kRegionDigest,
-  kLoanAsk,
-  kLoanAnswer,
+  kLoanRequest,
+  kLoanResponse,
   kLoanReturn,
   kQuarantine,
   kConfigHint,
   kJoin,
-  kSyncAsk,
-  kLedgerAsk,
-  kLedgerAnswer,
-  kPlacingAsk,
-  kPlacingAnswer,
-  kPlacingEnd,
-  kPermitAsk,
-  kPermitAnswer,
+  kSyncRequest,
+  kLedgerRequest,
+  kLedgerResponse,
+  kPlacementRequest,
+  kPlacementResponse,
+  kPlacementEnd,
+  kPermitRequest,
+  kPermitResponse,
   kPermitReturn,
-  kPermitBorrow,
+  kPermitLoanRequest,
   kPermitLoan,
 };
 
+// Names of the kinds in the labels of the peer metrics.
 inline constexpr enum_names<message_kind, 22> kMessageKindNames{{
     {message_kind::kProbe, "probe"},
     {message_kind::kProbeAck, "probe_ack"},
     {message_kind::kProbeRequest, "probe_request"},
     {message_kind::kGossip, "gossip"},
     {message_kind::kRegionDigest, "region_digest"},
-    {message_kind::kLoanAsk, "loan_ask"},
-    {message_kind::kLoanAnswer, "loan_answer"},
+    {message_kind::kLoanRequest, "loan_ask"},
+    {message_kind::kLoanResponse, "loan_answer"},
     {message_kind::kLoanReturn, "loan_return"},
     {message_kind::kQuarantine, "quarantine"},
     {message_kind::kConfigHint, "config_hint"},
     {message_kind::kJoin, "join"},
-    {message_kind::kSyncAsk, "sync_ask"},
-    {message_kind::kLedgerAsk, "ledger_ask"},
-    {message_kind::kLedgerAnswer, "ledger_answer"},
-    {message_kind::kPlacingAsk, "placing_ask"},
-    {message_kind::kPlacingAnswer, "placing_answer"},
-    {message_kind::kPlacingEnd, "placing_end"},
-    {message_kind::kPermitAsk, "permit_ask"},
-    {message_kind::kPermitAnswer, "permit_answer"},
+    {message_kind::kSyncRequest, "sync_ask"},
+    {message_kind::kLedgerRequest, "ledger_ask"},
+    {message_kind::kLedgerResponse, "ledger_answer"},
+    {message_kind::kPlacementRequest, "placing_ask"},
+    {message_kind::kPlacementResponse, "placing_answer"},
+    {message_kind::kPlacementEnd, "placing_end"},
+    {message_kind::kPermitRequest, "permit_ask"},
+    {message_kind::kPermitResponse, "permit_answer"},
     {message_kind::kPermitReturn, "permit_return"},
-    {message_kind::kPermitBorrow, "permit_borrow"},
+    {message_kind::kPermitLoanRequest, "permit_borrow"},
     {message_kind::kPermitLoan, "permit_loan"},
 }};
 
+// The highest valid number; the decoder rejects messages above it.
 inline constexpr auto kLastMessageKind = message_kind::kPermitLoan;
 
 }  // namespace samphire
--- a/src/libsamphire/peer/peer_identity.h
+++ b/src/libsamphire/peer/peer_identity.h
@@ -6,7 +6,8 @@
 
 namespace samphire {
 
-// The process that a peer request comes from.
+// The process that sent a peer request: the name of its instance and its
+// incarnation, which is higher for each later process of the instance.
 struct peer_identity {
   std::string instance;
   std::uint64_t incarnation = 0;
--- a/src/libsamphire/peer/peer_keys.cc
+++ b/src/libsamphire/peer/peer_keys.cc
@@ -9,18 +9,20 @@
 
 namespace {
 
-// Shorter keys can be guessed offline from one captured datagram.
-constexpr std::size_t kMinKeyLength = 32;
-// The old and the new one, and one to spare: each key costs every forged
-// datagram one more digest.
+// Minimum length of a key in bytes. Shorter keys can be found offline by brute
+// force from one captured datagram.
+constexpr std::size_t kMinKeyBytes = 32;
+// Maximum number of keys: the old key, the new key and one spare. The bound
+// exists because each key costs one more digest computation per forged
+// datagram.
 constexpr std::size_t kMaxKeys = 3;
 
 std::string Trimmed(const std::string& line) {
-  constexpr const char* kBlank = " \t\r";
-  const auto first = line.find_first_not_of(kBlank);
+  constexpr const char* kWhitespace = " \t\r";
+  const auto first = line.find_first_not_of(kWhitespace);
   if (first == std::string::npos)
     return {};
-  return line.substr(first, line.find_last_not_of(kBlank) - first + 1);
+  return line.substr(first, line.find_last_not_of(kWhitespace) - first + 1);
 }
 
 }  // namespace
@@ -32,14 +34,15 @@
     const auto key = Trimmed(line);
     if (key.empty() || key.front() == '#')
       continue;
-    if (key.size() < kMinKeyLength) {
+    if (key.size() < kMinKeyBytes) {
       return MakeError(result_code::kValueOutOfRange,
                        "a peer key is shorter than 32 characters");
     }
     keys.keys_.push_back(key);
   }
   if (keys.keys_.empty())
-    return MakeError(result_code::kFileEmpty, "no peer key");
+    return MakeError(result_code::kFileEmpty,
+                     "the key file contains no peer key");
   if (keys.keys_.size() > kMaxKeys)
     return MakeError(result_code::kValueOutOfRange, "more than 3 peer keys");
   return keys;
@@ -55,14 +58,14 @@
 }
 
 std::string peer_keys::Sign(std::string_view message) const {
-  return KeyedDigest(keys_.front(), message);
+  return HmacSha256(keys_.front(), message);
 }
 
 bool peer_keys::Accepts(std::string_view message,
                         std::string_view digest) const {
   bool accepted = false;
   for (const auto& key : keys_)
-    accepted |= EqualInConstantTime(KeyedDigest(key, message), digest);
+    accepted |= EqualInConstantTime(HmacSha256(key, message), digest);
   return accepted;
 }
 
--- a/src/libsamphire/peer/peer_keys.h
+++ b/src/libsamphire/peer/peer_keys.h
@@ -9,17 +9,24 @@
 
 namespace samphire {
 
-// The fleet's shared keys. The first signs; each of them is accepted, so that
-// a new key can be spread before it is used.
+// The secret keys shared by all entries of the fleet. The first key signs;
+// every key is accepted for verification, so that a new key can be distributed
+// to all entries before any of them signs with it. Immutable after construction
+// and therefore usable from any thread.
 class peer_keys {
  public:
-  // One key a line; empty lines and lines that start with # are skipped.
+  // Parses one key per line; empty lines and lines that start with # are
+  // skipped. Returns kValueOutOfRange for a key that is too short or for too
+  // many keys, and kFileEmpty when there is no key.
   static result<peer_keys> Parse(std::string_view text);
+  // Reads and parses the file at `path`. Returns the errors of Parse, or
+  // kFileUnreadable.
   static result<peer_keys> Load(const std::string& path);
 
-  // HMAC-SHA256 of `message` with the signing key, 32 bytes.
+  // Returns the HMAC-SHA256 of `message` under the first key, 32 raw bytes.
   std::string Sign(std::string_view message) const;
-  // Whether `digest` is that of `message` with one of the keys.
+  // Returns whether `digest` is the HMAC-SHA256 of `message` under any of the
+  // keys. The time does not depend on which key matches.
   bool Accepts(std::string_view message, std::string_view digest) const;
 
  private:
--- a/src/libsamphire/peer/peer_message.h
+++ b/src/libsamphire/peer/peer_message.h
@@ -6,11 +6,13 @@
 
 namespace samphire {
 
-// A message that arrived, signed and new.
+// A received message whose signature was verified and that is not a replay.
 struct peer_message {
+  // Name of the sending instance.
   std::string sender;
+  // Incarnation of the sending process.
   std::uint64_t incarnation = 0;
-  // Where an answer is sent: IP:PORT by number.
+  // The address that a response is sent to: numeric IP:PORT.
   std::string from;
   std::string payload;
 };
--- a/src/libsamphire/peer/peer_request.h
+++ b/src/libsamphire/peer/peer_request.h
@@ -5,15 +5,16 @@
 
 namespace samphire {
 
-// What a token vouches for: one HTTP request from one entry to another.
+// The parts of an HTTP request from one entry to another that a peer token
+// authenticates.
 struct peer_request {
   std::string method;
-  // Path and query.
-  std::string target;
-  // The address that the request is sent to: IP:PORT by number.
-  std::string receiver;
-  // What else must not be changed on the way, such as a digest of the body.
-  std::string content;
+  // The request target of HTTP: path and query.
+  std::string request_target;
+  // The address that the request is sent to: numeric IP:PORT.
+  std::string receiver_address;
+  // Whatever else must not be changed in transit, such as a digest of the body.
+  std::string signed_content;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/peer/peer_token.h
+++ b/src/libsamphire/peer/peer_token.h
@@ -16,38 +16,45 @@
 
 namespace samphire {
 
-// The header that carries a token.
+// Name of the HTTP header that carries a peer token.
 inline constexpr const char* kPeerTokenHeader = "Samphirewinch-Peer";
 
-// The token by which `self` vouches for `request`; `nonce` is new each time.
+// Returns a token that authenticates `request` as sent by `self` at the time
+// `now`. `nonce` must differ for each token of the process, so that equal
+// requests have different tokens.
 std::string SignPeerRequest(const peer_request& request,
                             const peer_identity& self,
                             const peer_keys& keys,
                             wall_time now,
                             std::uint64_t nonce);
 
-// Checks tokens and refuses one that was seen before. Safe to use from
-// several threads.
+// Verifies tokens and refuses a token that was used before. Thread-safe.
 class peer_token_verifier {
  public:
   explicit peer_token_verifier(peer_keys keys);
 
-  // Who sent `request`; kPeerMalformed, kPeerBadDigest or kPeerReplayed.
+  // Returns the sender of `request`. Returns kPeerMalformed when the token
+  // cannot be parsed, kPeerBadDigest when it does not belong to the request or
+  // was signed with an unknown key, and kPeerReplayed when it is too old, too
+  // far in the future or was used before.
   result<peer_identity> Verify(const peer_request& request,
                                std::string_view token,
                                wall_time now);
 
  private:
-  // The tokens of this period and of the one before.
+  // Digests of the tokens that were accepted in the current period and in the
+  // preceding one.
   struct seen_tokens {
+    // Number of the current period, counted from the epoch.
     std::int64_t period = 0;
-    std::set<std::string, std::less<>> present;
+    std::set<std::string, std::less<>> current;
     std::set<std::string, std::less<>> previous;
   };
 
-  static bool Remember(seen_tokens& seen,
-                       std::string_view digest,
-                       std::int64_t period);
+  // Returns whether `digest` was new and could be stored.
+  static bool RecordIfNew(seen_tokens& seen,
+                          std::string_view digest,
+                          std::int64_t period);
 
   const peer_keys keys_;
   sharded<seen_tokens> seen_;
--- a/src/libsamphire/peer/replay_guard.h
+++ b/src/libsamphire/peer/replay_guard.h
@@ -13,22 +13,28 @@
 
 namespace samphire {
 
-// Tells signed messages that are new from those seen before. Not thread-safe.
+// Detects replays of verified messages by their time, incarnation and sequence
+// number. Memory is bounded by a maximum number of senders. Not thread-safe.
 class replay_guard {
  public:
-  // Success, or kPeerReplayed with the rule that the message broke.
+  // Returns success for a new message and records it. Returns kPeerReplayed,
+  // with the violated rule as the detail, for any other.
   result<void> Accept(const peer_envelope& envelope, wall_time now);
 
+  // Number of senders for which state is kept.
   std::size_t senders() const { return senders_.size(); }
 
  private:
   struct sender_state {
+    // The highest incarnation seen so far; messages of lower ones are refused.
     std::uint64_t incarnation = 0;
-    wall_time heard_at;
+    wall_time last_accepted_at;
+    // The sequence numbers received of this incarnation.
     replay_window window;
   };
 
-  bool MakeRoom(wall_time now);
+  // Returns whether at least one sender was evicted.
+  bool EvictStaleSenders(wall_time now);
 
   std::map<std::string, sender_state, std::less<>> senders_;
 };
--- a/src/libsamphire/peer/replay_window.cc
+++ b/src/libsamphire/peer/replay_window.cc
@@ -2,6 +2,8 @@
 
 namespace samphire {
 
+// A bit is valid for the sequence numbers in (highest_ - kSize, highest_].
+// Sequence numbers start at 1, so that 0 is never valid.
 bool replay_window::Accept(std::uint64_t sequence) {
   if (sequence == 0)
     return false;
@@ -16,6 +18,8 @@
   return true;
 }
 
+// Clears the bits of the numbers that enter the window, which still hold the
+// state of the numbers that leave it.
 void replay_window::Advance(std::uint64_t sequence) {
   if (sequence - highest_ >= kSize) {
     seen_.reset();
--- a/src/libsamphire/peer/replay_window.h
+++ b/src/libsamphire/peer/replay_window.h
@@ -7,12 +7,15 @@
 
 namespace samphire {
 
-// The sequence numbers seen of one process, as far back as the window goes.
+// A sliding window over the sequence numbers received from one process. Accepts
+// each number once and tolerates reordering within the window. Not thread-safe.
 class replay_window {
  public:
+  // Number of sequence numbers that the window covers.
   static constexpr std::size_t kSize = 4096;
 
-  // Whether `sequence` is new; a number older than the window is not.
+  // Returns whether `sequence` is new and records it. Numbers older than the
+  // window, and 0, are not accepted.
   bool Accept(std::uint64_t sequence);
 
  private:
--- a/src/libsamphire/peer/udp_peer_transport.cc
+++ b/src/libsamphire/peer/udp_peer_transport.cc
@@ -13,13 +13,14 @@
 
 namespace {
 
-// How long a stop may take at most.
-constexpr int kPollMicroseconds = 100'000;
-// A burst of a few hundred datagrams must not be lost while the receiving
-// thread is held up by the scheduler.
-constexpr int kReceiveBuffer = 1 << 20;
-
-Poco::Net::SocketAddress Parse(const std::string& address) {
+// Interval at which the receiving thread checks whether it should stop; the
+// maximum time that stopping takes.
+constexpr int kPollIntervalUs = 100'000;
+// Size of the socket's receive buffer in bytes. A burst of a few hundred
+// datagrams must not be lost while the scheduler delays the receiving thread.
+constexpr int kReceiveBufferBytes = 1 << 20;
+
+Poco::Net::SocketAddress ParseAddress(const std::string& address) {
   return Poco::Net::SocketAddress(address);
 }
 
@@ -31,14 +32,14 @@
                                        peer_keys keys,
                                        const clock_source& clock,
                                        metrics& registry)
-    : socket_(Parse(address), false),
+    : socket_(ParseAddress(address), false),
       address_(socket_.address().toString()),
       sender_(std::move(sender)),
       incarnation_(incarnation),
       keys_(std::move(keys)),
       clock_(clock),
       metrics_(registry) {
-  socket_.setReceiveBufferSize(kReceiveBuffer);
+  socket_.setReceiveBufferSize(kReceiveBufferBytes);
 }
 
 udp_peer_transport::~udp_peer_transport() = default;
@@ -50,15 +51,15 @@
   envelope.sender = sender_;
   envelope.incarnation = incarnation_;
   envelope.sequence = ++sequence_;
-  envelope.sent_at = std::chrono::duration_cast<microseconds>(
-                         clock_.wall_now().time_since_epoch())
-                         .count();
+  envelope.sent_at_us = std::chrono::duration_cast<microseconds>(
+                            clock_.wall_now().time_since_epoch())
+                            .count();
   envelope.kind = kind;
   envelope.payload = payload;
-  BOOST_OUTCOME_TRY(datagram, Seal(envelope, address, keys_));
+  BOOST_OUTCOME_TRY(datagram, SignEnvelope(envelope, address, keys_));
   try {
     socket_.sendTo(datagram.data(), static_cast<int>(datagram.size()),
-                   Parse(address));
+                   ParseAddress(address));
   } catch (const Poco::Exception& failure) {
     metrics_.Count("peer_send_failures_total");
     return MakeError(result_code::kPeerUnreachable, failure.displayText());
@@ -81,10 +82,11 @@
 }
 
 void udp_peer_transport::Run(const std::stop_token& stop) {
-  const Poco::Timespan timeout(kPollMicroseconds);
+  const Poco::Timespan timeout(kPollIntervalUs);
   while (!stop.stop_requested()) {
-    // An ICMP refusal of a datagram sent to a dead peer surfaces here as an
-    // error of the socket; it must not end the thread that hears all others.
+    // An ICMP error caused by a datagram to a stopped peer is reported here as
+    // an error of the socket. It must not end the thread that receives from all
+    // other peers.
     try {
       if (socket_.poll(timeout, Poco::Net::Socket::SELECT_READ))
         ReceiveOne();
@@ -95,8 +97,9 @@
 }
 
 void udp_peer_transport::ReceiveOne() {
-  // One byte more than allowed, so that a cut datagram is told from a whole.
-  std::array<char, kMaxDatagram + 1> buffer;
+  // One byte larger than the maximum, so that an oversized datagram, which is
+  // truncated to the buffer, is recognized by its size.
+  std::array<char, kMaxDatagramBytes + 1> buffer;
   Poco::Net::SocketAddress from;
   const int size =
       socket_.receiveFrom(buffer.data(), static_cast<int>(buffer.size()), from);
@@ -106,18 +109,19 @@
 }
 
 void udp_peer_transport::Accept(std::string_view datagram, std::string from) {
-  auto opened = Open(datagram, address_, keys_);
-  if (!opened)
-    return Drop(opened.error());
-  auto& envelope = opened.value();
-  const auto fresh = guard_.Accept(envelope, clock_.wall_now());
-  if (!fresh)
-    return Drop(fresh.error());
+  auto verified = VerifyEnvelope(datagram, address_, keys_);
+  if (!verified)
+    return CountDropped(verified.error());
+  auto& envelope = verified.value();
+  const auto accepted = replay_guard_.Accept(envelope, clock_.wall_now());
+  if (!accepted)
+    return CountDropped(accepted.error());
   const auto label =
       fmt::format("kind=\"{}\"", NameOf(kMessageKindNames, envelope.kind));
   metrics_.Count("peer_received_total", label);
-  // Held while the handler runs: whoever takes a handler back, since it is
-  // about to be destroyed, has to wait for a delivery that is under way.
+  // Held while the handler runs: a caller of OnMessage that removes a handler
+  // because its owner is about to be destroyed has to wait for a delivery in
+  // progress.
   std::lock_guard guard(handlers_lock_);
   const auto& receive = handlers_[static_cast<std::size_t>(envelope.kind)];
   if (receive) {
@@ -126,9 +130,10 @@
   }
 }
 
-// Dropped without an answer: an answer would tell a stranger that something
-// listens here, and could be aimed at a third party by a forged source.
-void udp_peer_transport::Drop(const error& reason) {
+// Invalid datagrams get no response: a response would reveal to an
+// unauthenticated sender that a service listens here, and with a forged source
+// address it could be directed at a third party.
+void udp_peer_transport::CountDropped(const error& reason) {
   metrics_.Count("peer_dropped_total",
                  fmt::format("reason=\"{}\"", NameOf(reason.code)));
 }
--- a/src/libsamphire/peer/udp_peer_transport.h
+++ b/src/libsamphire/peer/udp_peer_transport.h
@@ -19,11 +19,14 @@
 
 namespace samphire {
 
-// Peer messages over UDP, signed and guarded against replay.
+// A peer_transport over UDP that signs messages and protects them against
+// replay. Send and OnMessage may be called from any thread; one thread of the
+// transport's own receives and runs the handlers until destruction.
 class udp_peer_transport final : public peer_transport {
  public:
-  // Binds `address` (port 0: any) but receives only after Start. Throws
-  // Poco::Net::NetException when the address can't be bound.
+  // Binds `address` (IP:PORT; port 0 selects a free one), but receives only
+  // after Start. `sender` is the name of this instance. Throws
+  // Poco::Net::NetException when the address cannot be bound.
   udp_peer_transport(const std::string& address,
                      std::string sender,
                      std::uint64_t incarnation,
@@ -37,18 +40,23 @@
                     const std::string& payload) override;
   void OnMessage(message_kind kind, handler receive) override;
 
+  // Starts the receiving thread. To be called once.
   void Start();
-  // The address that peers reach this transport by.
+  // The bound address, IP:PORT, by which peers reach this transport. Part of
+  // the text that peers sign.
   const std::string& address() const { return address_; }
 
  private:
-  static constexpr std::size_t kKinds =
+  static constexpr std::size_t kMessageKindCount =
       static_cast<std::size_t>(kLastMessageKind) + 1;
 
+  // Receives until `stop` is requested.
   void Run(const std::stop_token& stop);
   void ReceiveOne();
+  // Verifies a datagram, checks it for replay and runs its handler.
   void Accept(std::string_view datagram, std::string from);
-  void Drop(const error& reason);
+  // Counts a rejected datagram by its reason.
+  void CountDropped(const error& reason);
 
   Poco::Net::DatagramSocket socket_;
   std::string address_;
@@ -59,9 +67,11 @@
   metrics& metrics_;
   std::atomic<std::uint64_t> sequence_{0};
   std::mutex handlers_lock_;
-  std::array<handler, kKinds> handlers_;
-  // Used by the receiving thread only.
-  replay_guard guard_;
+  std::array<handler, kMessageKindCount> handlers_;
+  // Accessed by the receiving thread only.
+  replay_guard replay_guard_;
+  // Declared last, so that it is joined before the members it uses are
+  // destroyed.
   std::jthread receiver_;
 };
 
--- a/src/libsamphire/store/http_caller.cc
+++ b/src/libsamphire/store/http_caller.cc
@@ -13,44 +13,46 @@
 
 namespace {
 
-constexpr std::size_t kReadBytes = 16'384;
+// Size of the buffer through which a body is read.
+constexpr std::size_t kReadChunkBytes = 16'384;
 
-// The body of exactly `length` bytes; an early end is an exception, since a
-// part of an answer must never pass for the whole. The deadline bounds an
-// answer that trickles in, each byte within the socket's own timeout.
+// Reads a body of exactly `length` bytes and throws if it ends early: a
+// truncated response must never be taken for a complete one. The deadline
+// bounds responses that arrive slowly while each byte stays within the socket's
+// own timeout.
 std::string ReadBody(std::istream& in,
                      std::streamsize length,
                      const clock_source& clock,
                      time_point deadline) {
   std::string body;
-  std::array<char, kReadBytes> buffer{};
+  std::array<char, kReadChunkBytes> buffer{};
   while (in.good()) {
     if (clock.now() > deadline)
-      throw Poco::TimeoutException("answer too slow");
+      throw Poco::TimeoutException("response not complete before the deadline");
     in.read(buffer.data(), buffer.size());
     body.append(buffer.data(), static_cast<std::size_t>(in.gcount()));
   }
   if (length < 0 || body.size() != static_cast<std::size_t>(length))
-    throw Poco::Net::MessageException("answer cut short");
+    throw Poco::Net::MessageException("response body truncated");
   return body;
 }
 
 }  // namespace
 
-// Once a byte of a write may have left, only a whole answer tells what came
-// of it: a lost answer and a lost request look the same from here. Taking one
-// for "not run" would let a caller run it a second time. A read changes
-// nothing, so it is merely unanswered.
-error Unanswered(const store_http_call& what, std::string detail) {
-  return MakeError(what.writes ? result_code::kStoreOutcomeUnknown
+// Once a byte of a write may have been sent, only a complete response tells its
+// outcome: a lost response and a lost request are indistinguishable here. If
+// the write were reported as not executed, a caller might execute it a second
+// time. A read changes nothing, so that it merely counts as unreachable.
+error IncompleteResponseError(const store_http_call& call, std::string detail) {
+  return MakeError(call.writes ? result_code::kStoreOutcomeUnknown
                                : result_code::kStoreUnreachable,
                    std::move(detail));
 }
 
-// 429 and 503 are the platform's word that it did nothing. Other 5xx may come
-// from something in between, after the write was passed on.
-error RefusalOf(const store_http_call& what, int status) {
-  auto detail = fmt::format("status {}", status);
+// With 429 and 503 the platform guarantees that the call had no effect. Other
+// 5xx statuses may come from an intermediary after the write was forwarded.
+error ErrorForStatus(const store_http_call& call, int status) {
+  auto detail = fmt::format("HTTP status {}", status);
   switch (status) {
     case 404:
       return MakeError(result_code::kStoreNotFound, std::move(detail));
@@ -65,7 +67,7 @@
       break;
   }
   if (status >= 500)
-    return Unanswered(what, std::move(detail));
+    return IncompleteResponseError(call, std::move(detail));
   return MakeError(result_code::kStoreRefused, std::move(detail));
 }
 
@@ -77,64 +79,65 @@
   }
 }
 
-// Goes on to the next address only while the call surely had no effect, which
-// for a read is always.
-result<store_http_reply> http_caller::Call(const store_http_call& what) {
-  const auto first = preferred_.load();
-  error last = MakeError(result_code::kStoreUnreachable, "no address");
+// Tries the next address only while the call certainly had no effect, which is
+// always the case for a read.
+result<store_http_reply> http_caller::Call(const store_http_call& call) {
+  const auto first = preferred_index_.load();
+  error last = MakeError(result_code::kStoreUnreachable,
+                         "no platform address configured");
   for (std::size_t i = 0; i < pools_.size(); ++i) {
     const auto index = (first + i) % pools_.size();
-    auto got = TryPool(*pools_[index], what);
-    const bool unavailable = got && got.value().status == 503;
-    if (got && !unavailable) {
-      preferred_ = index;
-      return got;
+    auto reply = CallAddress(*pools_[index], call);
+    const bool unavailable = reply && reply.value().status == 503;
+    if (reply && !unavailable) {
+      preferred_index_ = index;
+      return reply;
     }
-    last = got ? RefusalOf(what, got.value().status) : got.error();
+    last = reply ? ErrorForStatus(call, reply.value().status) : reply.error();
     if (last.code == result_code::kStoreOutcomeUnknown)
       break;
   }
   return last;
 }
 
-result<store_http_reply> http_caller::TryPool(http_connection_pool& pool,
-                                              const store_http_call& what) {
-  BOOST_OUTCOME_TRY(session, pool.Take());
-  auto got = Exchange(*session, what);
-  if (got && session->getKeepAlive())
-    pool.GiveBack(std::move(session));
-  return got;
+result<store_http_reply> http_caller::CallAddress(http_connection_pool& pool,
+                                                  const store_http_call& call) {
+  BOOST_OUTCOME_TRY(session, pool.Acquire());
+  auto reply = Exchange(*session, call);
+  if (reply && session->getKeepAlive())
+    pool.Release(std::move(session));
+  return reply;
 }
 
 result<store_http_reply> http_caller::Exchange(
     Poco::Net::HTTPClientSession& session,
-    const store_http_call& what) {
-  const auto deadline = clock_.now() + what.timeout;
+    const store_http_call& call) {
+  const auto deadline = clock_.now() + call.timeout;
   try {
-    session.setTimeout(Poco::Timespan(what.timeout.count() * 1000));
+    session.setTimeout(Poco::Timespan(call.timeout.count() * 1000));
     session.socket().setReceiveTimeout(session.getTimeout());
     session.socket().setSendTimeout(session.getTimeout());
-    Poco::Net::HTTPRequest head(what.method, what.uri,
+    Poco::Net::HTTPRequest head(call.method, call.uri,
                                 Poco::Net::HTTPMessage::HTTP_1_1);
     head.setHost("platform");
     head.setKeepAlive(true);
-    for (const auto& [name, value] : what.headers)
+    for (const auto& [name, value] : call.headers)
       head.set(name, value);
-    if (!what.body.empty() || what.method == Poco::Net::HTTPRequest::HTTP_PUT)
-      head.setContentLength64(static_cast<Poco::Int64>(what.body.size()));
-    session.sendRequest(head) << what.body << std::flush;
+    if (!call.body.empty() || call.method == Poco::Net::HTTPRequest::HTTP_PUT)
+      head.setContentLength64(static_cast<Poco::Int64>(call.body.size()));
+    session.sendRequest(head) << call.body << std::flush;
     Poco::Net::HTTPResponse response;
     auto& in = session.receiveResponse(response);
-    store_http_reply got;
-    got.status = response.getStatus();
-    got.etag = response.get("Etag", "");
-    got.body = ReadBody(in, response.getContentLength64(), clock_, deadline);
+    store_http_reply reply;
+    reply.status = response.getStatus();
+    reply.etag = response.get("Etag", "");
+    reply.body = ReadBody(in, response.getContentLength64(), clock_, deadline);
     session.setKeepAlive(response.getKeepAlive());
-    return got;
+    return reply;
   } catch (const Poco::Exception& e) {
-    return Unanswered(what, e.displayText());
+    return IncompleteResponseError(call, e.displayText());
   } catch (const std::exception& e) {
-    return Unanswered(what, e.what());
+    return IncompleteResponseError(call, e.what());
   }
 }
 
--- a/src/libsamphire/store/http_caller.h
+++ b/src/libsamphire/store/http_caller.h
@@ -14,34 +14,41 @@
 
 namespace samphire {
 
-// Makes calls to the platform at any of its addresses. Tries no write twice:
-// that and backing off are the caller's.
+// Makes HTTP calls to the platform at any of its addresses, starting with the
+// one that responded last. Never retries a write that may have been executed;
+// retries and backoff are up to the caller. Any number of threads may call.
 class http_caller {
  public:
   http_caller(http_store_options options, const clock_source& clock);
 
-  // kStoreUnreachable: it had no effect. kStoreOutcomeUnknown: it may have.
-  result<store_http_reply> Call(const store_http_call& what);
+  // Blocks until a complete response was received, whatever its status except
+  // 503, or all addresses failed. Returns kStoreUnreachable when the call had
+  // no effect and kStoreOutcomeUnknown when it may have had one.
+  result<store_http_reply> Call(const store_http_call& call);
 
   const http_store_options& options() const { return options_; }
 
  private:
-  result<store_http_reply> TryPool(http_connection_pool& pool,
-                                   const store_http_call& what);
+  // Makes the call over a connection of `pool`, which gets the connection back
+  // after a complete response.
+  result<store_http_reply> CallAddress(http_connection_pool& pool,
+                                       const store_http_call& call);
+  // Sends the request and reads the response within the call's timeout.
   result<store_http_reply> Exchange(Poco::Net::HTTPClientSession& session,
-                                    const store_http_call& what);
+                                    const store_http_call& call);
 
   const http_store_options options_;
   const clock_source& clock_;
   std::vector<std::unique_ptr<http_connection_pool>> pools_;
-  // The address that answered last.
-  std::atomic<std::size_t> preferred_{0};
+  // Index of the address that responded last.
+  std::atomic<std::size_t> preferred_index_{0};
 };
 
-// What a status other than success means for the call.
-error RefusalOf(const store_http_call& what, int status);
-// A call whose answer did not come whole.
-error Unanswered(const store_http_call& what, std::string detail);
+// Returns the error for a response whose status is not success.
+error ErrorForStatus(const store_http_call& call, int status);
+// Returns the error for a call whose response is missing or incomplete:
+// kStoreOutcomeUnknown for a write, kStoreUnreachable for a read.
+error IncompleteResponseError(const store_http_call& call, std::string detail);
 
 }  // namespace samphire
 
--- a/src/libsamphire/store/http_connection_pool.cc
+++ b/src/libsamphire/store/http_connection_pool.cc
@@ -11,18 +11,21 @@
 
 namespace {
 
-// Enough for the threads of one entry that call the platform at the same time;
-// more are closed, so that a burst leaves no connections behind.
-constexpr std::size_t kMaxIdle = 16;
+// Maximum number of idle connections that are kept. Sufficient for the threads
+// of one entry that call the platform concurrently; further connections are
+// closed, so that a burst leaves no connections open.
+constexpr std::size_t kMaxIdleConnections = 16;
 
-// A watch waits for seconds without a byte; a connection that went silent
-// meanwhile would hold back every change until the watch runs out.
-constexpr milliseconds kSilenceLimit{1500};
+// A connection on which the platform acknowledges nothing for this long fails.
+// A watch waits for seconds without receiving a byte; if its connection broke
+// unnoticed, every change would be delayed until the watch times out.
+constexpr milliseconds kUnacknowledgedTimeout{1500};
 
-// A peer that closed an idle connection shows as readable: nothing else may
-// arrive before a request. Writing there would leave a write's outcome
-// unknown for no reason, noticed as kStoreOutcomeUnknown after quiet times.
-bool Usable(Poco::Net::HTTPClientSession& session) {
+// An idle connection that the platform has closed becomes readable, since
+// nothing else may arrive before a request. Sending a write on it would
+// needlessly leave the write's outcome unknown; this appeared as
+// kStoreOutcomeUnknown after periods without calls.
+bool IsReusable(Poco::Net::HTTPClientSession& session) {
   try {
     return !session.socket().poll(Poco::Timespan(0),
                                   Poco::Net::Socket::SELECT_READ);
@@ -38,22 +41,23 @@
                                            const clock_source& clock)
     : address_(std::move(address)), options_(options), clock_(clock) {}
 
-result<http_connection_pool::session_ptr> http_connection_pool::Take() {
-  if (auto session = TakeIdle())
+result<http_connection_pool::session_ptr> http_connection_pool::Acquire() {
+  if (auto session = AcquireIdle())
     return session;
   return Connect();
 }
 
-// Connecting apart from sending tells for sure that nothing was sent. A
-// session that is given its socket never reconnects and sends anew by itself,
-// which POCO would otherwise do behind the classification's back.
+// Connecting separately from sending guarantees that nothing was sent when
+// connecting fails. A session constructed from a connected socket never
+// reconnects and resends on its own, which POCO would otherwise do without the
+// error classification noticing.
 result<http_connection_pool::session_ptr> http_connection_pool::Connect() {
   try {
     Poco::Net::StreamSocket socket;
     socket.connect(Poco::Net::SocketAddress(address_),
                    Poco::Timespan(options_.connect_timeout.count() * 1000));
     socket.setNoDelay(true);
-    SetSilenceLimit(socket, kSilenceLimit);
+    SetSilenceLimit(socket, kUnacknowledgedTimeout);
     auto session = std::make_unique<Poco::Net::HTTPClientSession>(socket);
     session->setKeepAlive(true);
     return session;
@@ -63,20 +67,22 @@
   }
 }
 
-void http_connection_pool::GiveBack(session_ptr session) {
+void http_connection_pool::Release(session_ptr session) {
   std::lock_guard guard(lock_);
-  if (idle_.size() < kMaxIdle)
+  if (idle_.size() < kMaxIdleConnections)
     idle_.push_back({std::move(session), clock_.now()});
 }
 
-http_connection_pool::session_ptr http_connection_pool::TakeIdle() {
+http_connection_pool::session_ptr http_connection_pool::AcquireIdle() {
   std::lock_guard guard(lock_);
   while (!idle_.empty()) {
-    // The last one used is the least likely to have been closed.
+    // The most recently used connection is the least likely to have been
+    // closed.
     auto candidate = std::move(idle_.back());
     idle_.pop_back();
-    const bool fresh = clock_.now() - candidate.since < options_.max_idle;
-    if (fresh && Usable(*candidate.session))
+    const bool fresh =
+        clock_.now() - candidate.idle_since < options_.max_idle_time;
+    if (fresh && IsReusable(*candidate.session))
       return std::move(candidate.session);
   }
   return nullptr;
--- a/src/libsamphire/store/http_connection_pool.h
+++ b/src/libsamphire/store/http_connection_pool.h
@@ -14,29 +14,36 @@
 
 namespace samphire {
 
-// Keep-alive connections to one address, shared by threads. A connection is
-// with one call at a time and comes back only after a whole answer.
+// A pool of keep-alive connections to one address. A connection serves one call
+// at a time and is returned only after a complete response; a connection that
+// is not returned is closed. Thread-safe.
 class http_connection_pool {
  public:
   using session_ptr = std::unique_ptr<Poco::Net::HTTPClientSession>;
 
+  // `options` and `clock` must outlive the pool.
   http_connection_pool(std::string address,
                        const http_store_options& options,
                        const clock_source& clock);
 
-  // An idle connection, or a new one; kStoreUnreachable if none can be made.
-  result<session_ptr> Take();
-  // A connection that was made for this call alone.
+  // Returns an idle connection or establishes a new one. Returns
+  // kStoreUnreachable if that fails.
+  result<session_ptr> Acquire();
+  // Establishes a new connection regardless of idle ones. Returns
+  // kStoreUnreachable if that fails.
   result<session_ptr> Connect();
-  void GiveBack(session_ptr session);
+  // Returns a connection to the pool. Closes it if enough are idle.
+  void Release(session_ptr session);
 
  private:
   struct idle_session {
     session_ptr session;
-    time_point since;
+    time_point idle_since;
   };
 
-  session_ptr TakeIdle();
+  // Returns the most recently used idle connection that is still usable, or
+  // null. Closes the unusable ones that it finds.
+  session_ptr AcquireIdle();
 
   const std::string address_;
   const http_store_options& options_;
--- a/src/libsamphire/store/http_object_store.cc
+++ b/src/libsamphire/store/http_object_store.cc
@@ -14,14 +14,14 @@
 
 namespace {
 
-std::string Encode(const std::string& text) {
+std::string UrlEncode(const std::string& text) {
   std::string encoded;
   Poco::URI::encode(text, "!*'();:@&=+$,/?#[]%", encoded);
   return encoded;
 }
 
 std::string ObjectUri(const std::string& key) {
-  return "/v1/objects/" + Encode(key);
+  return "/v1/objects/" + UrlEncode(key);
 }
 
 const std::string& MethodOf(store_call call) {
@@ -39,51 +39,56 @@
     : caller_(std::move(options), clock), metrics_(metrics) {}
 
 result<store_object> http_object_store::Get(const std::string& key) {
-  BOOST_OUTCOME_TRY(got, Call({store_call::kGet,
-                               ObjectUri(key),
-                               {},
-                               0,
-                               caller_.options().answer_timeout}));
-  const auto& etag = got.etag;
-  const bool number = !etag.empty() && etag.size() < 20 &&
-                      std::all_of(etag.begin(), etag.end(),
-                                  [](char c) { return c >= '0' && c <= '9'; });
-  if (!number)
-    return Counted(MakeError(result_code::kStoreCorrupt, "Etag of " + key));
-  return store_object{key, std::stoull(etag), std::move(got.body)};
+  BOOST_OUTCOME_TRY(reply, Call({store_call::kGet,
+                                 ObjectUri(key),
+                                 {},
+                                 0,
+                                 caller_.options().response_timeout}));
+  const auto& etag = reply.etag;
+  const bool is_number = !etag.empty() && etag.size() < 20 &&
+                         std::all_of(etag.begin(), etag.end(), [](char c) {
+                           return c >= '0' && c <= '9';
+                         });
+  if (!is_number)
+    return CountError(
+        MakeError(result_code::kStoreCorrupt, "invalid Etag of " + key));
+  return store_object{key, std::stoull(etag), std::move(reply.body)};
 }
 
 result<std::uint64_t> http_object_store::Put(const std::string& key,
                                              const std::string& value,
                                              std::uint64_t expected) {
-  BOOST_OUTCOME_TRY(got, Call({store_call::kPut, ObjectUri(key), value,
-                               expected, caller_.options().answer_timeout}));
-  const auto version = ReadVersion(got.body);
-  // It took effect, but without its version the caller must read it back.
+  BOOST_OUTCOME_TRY(reply,
+                    Call({store_call::kPut, ObjectUri(key), value, expected,
+                          caller_.options().response_timeout}));
+  const auto version = ReadVersion(reply.body);
+  // The write took effect, but without its version the caller has to read the
+  // object back.
   if (!version)
-    return Counted(Unanswered(store_http_call{.writes = true},
-                              "answer without a version"));
+    return CountError(
+        IncompleteResponseError(store_http_call{.writes = true},
+                                "response to a write contains no version"));
   return version.value();
 }
 
 result<void> http_object_store::Delete(const std::string& key,
                                        std::uint64_t expected) {
-  BOOST_OUTCOME_TRY(got, Call({store_call::kDelete,
-                               ObjectUri(key),
-                               {},
-                               expected,
-                               caller_.options().answer_timeout}));
-  static_cast<void>(got);
+  BOOST_OUTCOME_TRY(reply, Call({store_call::kDelete,
+                                 ObjectUri(key),
+                                 {},
+                                 expected,
+                                 caller_.options().response_timeout}));
+  static_cast<void>(reply);
   return Success();
 }
 
 result<std::vector<store_object>> http_object_store::List(
     const std::string& prefix) {
   return Read({store_call::kList,
-               "/v1/objects?prefix=" + Encode(prefix),
+               "/v1/objects?prefix=" + UrlEncode(prefix),
                {},
                0,
-               caller_.options().answer_timeout},
+               caller_.options().response_timeout},
               ReadObjects);
 }
 
@@ -91,10 +96,13 @@
                                              std::uint64_t cursor,
                                              milliseconds wait) {
   const auto uri = fmt::format("/v1/watch?prefix={}&after={}&wait_ms={}",
-                               Encode(prefix), cursor, wait.count());
-  return Read(
-      {store_call::kWatch, uri, {}, 0, wait + caller_.options().watch_margin},
-      ReadBatch);
+                               UrlEncode(prefix), cursor, wait.count());
+  return Read({store_call::kWatch,
+               uri,
+               {},
+               0,
+               wait + caller_.options().watch_timeout_margin},
+              ReadBatch);
 }
 
 result<std::vector<instance_info>> http_object_store::Instances() {
@@ -102,41 +110,41 @@
                "/v1/instances",
                {},
                0,
-               caller_.options().answer_timeout},
+               caller_.options().response_timeout},
               ReadInstances);
 }
 
 template <typename T>
-result<T> http_object_store::Read(const request& what,
-                                  result<T> (*read)(const std::string& text)) {
-  BOOST_OUTCOME_TRY(got, Call(what));
-  auto value = read(got.body);
+result<T> http_object_store::Read(const call_spec& spec,
+                                  result<T> (*parse)(const std::string& text)) {
+  BOOST_OUTCOME_TRY(reply, Call(spec));
+  auto value = parse(reply.body);
   if (!value)
-    return Counted(value.error());
+    return CountError(value.error());
   return value;
 }
 
-result<store_http_reply> http_object_store::Call(const request& what) {
-  CountStoreCall(metrics_, what.call);
-  store_http_call call{.method = MethodOf(what.call),
-                       .uri = what.uri,
+result<store_http_reply> http_object_store::Call(const call_spec& spec) {
+  CountStoreCall(metrics_, spec.call);
+  store_http_call call{.method = MethodOf(spec.call),
+                       .uri = spec.uri,
                        .headers = {},
-                       .body = what.body,
-                       .writes = Writes(what.call),
-                       .timeout = what.timeout};
+                       .body = spec.body,
+                       .writes = IsWrite(spec.call),
+                       .timeout = spec.timeout};
   if (call.writes)
-    call.headers.emplace_back("If-Match", std::to_string(what.expected));
-  auto got = caller_.Call(call);
-  if (!got)
-    return Counted(got.error());
-  if (got.value().status != 200)
-    return Counted(RefusalOf(call, got.value().status));
-  return got;
+    call.headers.emplace_back("If-Match", std::to_string(spec.expected));
+  auto reply = caller_.Call(call);
+  if (!reply)
+    return CountError(reply.error());
+  if (reply.value().status != 200)
+    return CountError(ErrorForStatus(call, reply.value().status));
+  return reply;
 }
 
-error http_object_store::Counted(error why) {
-  CountStoreError(metrics_, why.code);
-  return why;
+error http_object_store::CountError(error failure) {
+  CountStoreError(metrics_, failure.code);
+  return failure;
 }
 
 }  // namespace samphire
--- a/src/libsamphire/store/http_object_store.h
+++ b/src/libsamphire/store/http_object_store.h
@@ -14,8 +14,9 @@
 
 namespace samphire {
 
-// The platform's object API over HTTP. Any number of threads may call. Tries
-// no write twice: that and backing off are the caller's.
+// The platform's object API over HTTP. Any number of threads may call. Never
+// retries a write that may have been executed; retries and backoff are up to
+// the caller. Counts calls and errors in the store metrics.
 class http_object_store final : public object_store {
  public:
   http_object_store(http_store_options options,
@@ -25,6 +26,8 @@
   result<store_object> Get(const std::string& key) override;
   result<std::uint64_t> Put(const std::string& key,
                             const std::string& value,
+                            // Version that the object must have for a write; 0
+                            // for reads and for objects that must not exist.
                             std::uint64_t expected) override;
   result<void> Delete(const std::string& key, std::uint64_t expected) override;
   result<std::vector<store_object>> List(const std::string& prefix) override;
@@ -34,20 +37,24 @@
   result<std::vector<instance_info>> Instances() override;
 
  private:
-  struct request {
+  // A call before it is translated to HTTP.
+  struct call_spec {
     store_call call = store_call::kGet;
     std::string uri;
     std::string body;
     std::uint64_t expected = 0;
     milliseconds timeout{0};
   };
-  // Calls and counts; the answer is a whole one with status 200.
-  result<store_http_reply> Call(const request& what);
-  // What a read made of a whole answer, counted if it could not be read.
+  // Makes and counts a call. Returns only complete responses with status 200;
+  // any other is counted and returned as an error.
+  result<store_http_reply> Call(const call_spec& spec);
+  // Makes a call and parses the body of its response by `parse`. A body that
+  // cannot be parsed is counted as an error.
   template <typename T>
-  result<T> Read(const request& what,
-                 result<T> (*read)(const std::string& text));
-  error Counted(error why);
+  result<T> Read(const call_spec& spec,
+                 result<T> (*parse)(const std::string& text));
+  // Counts `failure` by its code and returns it.
+  error CountError(error failure);
 
   http_caller caller_;
   metrics& metrics_;
--- a/src/libsamphire/store/http_store_options.h
+++ b/src/libsamphire/store/http_store_options.h
@@ -8,17 +8,20 @@
 
 namespace samphire {
 
-// How the platform is reached.
+// Addresses and time limits of the HTTP client of the platform.
 struct http_store_options {
-  // IP:PORT by number; all lead to the same objects and are tried in turn.
+  // Numeric IP:PORT. All addresses lead to the same objects and are tried in
+  // turn.
   std::vector<std::string> addresses;
+  // Maximum time for establishing a connection to one address.
   milliseconds connect_timeout{500};
-  // From the request's first byte to the answer's last.
-  milliseconds answer_timeout{2000};
-  // How much longer than its wait a watch may take.
-  milliseconds watch_margin{2000};
-  // A connection idle for longer is not used again.
-  milliseconds max_idle{10'000};
+  // Maximum time from the first byte of the request to the last byte of the
+  // response, for all calls but watches.
+  milliseconds response_timeout{2000};
+  // Added to the wait time of a watch to obtain the timeout of its call.
+  milliseconds watch_timeout_margin{2000};
+  // Connections that have been idle for longer are closed, not reused.
+  milliseconds max_idle_time{10'000};
 };
 
 }  // namespace samphire
--- a/src/libsamphire/store/instance_info.h
+++ b/src/libsamphire/store/instance_info.h
@@ -7,12 +7,15 @@
 
 namespace samphire {
 
-// One line of the platform's lagging list of instances, entries and targets
-// alike. An instance that the list once held and holds no more is gone.
+// One element of the platform's instance list, which holds entries and targets
+// alike and may lag behind reality. An instance that the list contained once
+// and does not contain any more is gone.
 struct instance_info {
+  // Unique in the fleet.
   std::string name;
   // "entry" or "target".
   std::string role;
+  // IP:PORT.
   std::string address;
   std::string region;
   std::string failure_domain;
--- a/src/libsamphire/store/object_follower.cc
+++ b/src/libsamphire/store/object_follower.cc
@@ -9,26 +9,28 @@
 
 namespace {
 
-// How long one watch waits. A store that swallows calls is noticed only when
-// one runs out, and a change made meanwhile is seen so much later; shorter
-// waits cost more calls, each of which is priced.
-constexpr milliseconds kWatchTime{3000};
-// While the platform doesn't answer: each call asks for an answer at once, so
-// that one which is swallowed is given up soon and the return is not missed by
-// a watch that was sent a moment before it.
-constexpr milliseconds kProbeTime{50};
-// Changes that come together are taken in together: each watch that returns is
-// a call, and what must be known soon must be known within two seconds.
-constexpr milliseconds kGather{200};
-constexpr milliseconds kFirstPause{150};
-constexpr milliseconds kLongestPause{500};
+// Wait time of one watch. A store that swallows calls is noticed only when a
+// watch times out, and a change made meanwhile is seen that much later; shorter
+// waits cause more calls, each of which is billed.
+constexpr milliseconds kWatchWait{3000};
+// Wait time of a watch while the platform does not respond. Short, so that a
+// swallowed call is abandoned soon and the platform's return is not missed by a
+// watch sent a moment before it.
+constexpr milliseconds kOutageWatchWait{50};
+// Delay after a watch that returned changes, so that changes made in quick
+// succession are received in one batch: each watch that returns is a call.
+// Urgent changes have to be known within two seconds.
+constexpr milliseconds kBatchDelay{200};
+// Bounds of the exponential backoff after failed watches.
+constexpr milliseconds kMinBackoff{150};
+constexpr milliseconds kMaxBackoff{500};
 
 }  // namespace
 
 object_follower::object_follower(object_watcher& store,
                                  const clock_source& clock,
                                  std::string prefix,
-                                 change_sink on_change)
+                                 change_handler on_change)
     : store_(store),
       clock_(clock),
       prefix_(std::move(prefix)),
@@ -41,50 +43,51 @@
 
 milliseconds object_follower::Step() {
   const auto now = clock_.now();
-  auto wait = lost_ ? kProbeTime : kWatchTime;
+  auto wait = disconnected_ ? kOutageWatchWait : kWatchWait;
   if (const auto due = mirror_.expiry()) {
-    const auto left = std::chrono::ceil<milliseconds>(*due - now);
-    wait = std::clamp(left, milliseconds{1}, wait);
+    const auto remaining = std::chrono::ceil<milliseconds>(*due - now);
+    wait = std::clamp(remaining, milliseconds{1}, wait);
   }
   const auto batch = store_.Watch(prefix_, mirror_.cursor(), wait);
   if (!batch)
     return OnFailure(batch.error());
-  OnContact();
+  OnSuccess();
   bool changed = mirror_.Apply(batch.value(), clock_.now());
   changed |= mirror_.Expire(clock_.now());
-  changed |= tell_again_.exchange(false);
-  if ((changed || !told_once_) && mirror_.cursor() != 0) {
-    told_once_ = true;
+  changed |= redelivery_requested_.exchange(false);
+  if ((changed || !delivered_once_) && mirror_.cursor() != 0) {
+    delivered_once_ = true;
     on_change_(mirror_.objects());
   }
-  const bool behind = mirror_.cursor() == 0;
-  return behind || !batch.value().events.empty() ? kGather : milliseconds{0};
+  const bool needs_listing = mirror_.cursor() == 0;
+  return needs_listing || !batch.value().events.empty() ? kBatchDelay
+                                                        : milliseconds{0};
 }
 
-milliseconds object_follower::OnFailure(const error& why) {
-  if (!std::exchange(lost_, true)) {
+milliseconds object_follower::OnFailure(const error& failure) {
+  if (!std::exchange(disconnected_, true)) {
     Log(log_level::kWarning, "store-lost",
         {{"prefix", prefix_},
-         {"code", static_cast<int>(why.code)},
-         {"reason", NameOf(why.code)},
-         {"detail", why.detail}});
+         {"code", static_cast<int>(failure.code)},
+         {"reason", NameOf(failure.code)},
+         {"detail", failure.detail}});
   }
   if (mirror_.Expire(clock_.now()))
     on_change_(mirror_.objects());
-  pause_ = std::clamp(pause_ * 2, kFirstPause, kLongestPause);
-  return pause_;
+  backoff_ = std::clamp(backoff_ * 2, kMinBackoff, kMaxBackoff);
+  return backoff_;
 }
 
-void object_follower::OnContact() {
+void object_follower::OnSuccess() {
   const auto now = clock_.now();
-  if (std::exchange(lost_, false)) {
+  if (std::exchange(disconnected_, false)) {
     const auto outage = now - last_contact_;
     Log(log_level::kInfo, "store-regained",
         {{"prefix", prefix_},
          {"seconds", std::chrono::duration<double>(outage).count()}});
   }
   last_contact_ = now;
-  pause_ = milliseconds{0};
+  backoff_ = milliseconds{0};
 }
 
 }  // namespace samphire
--- a/src/libsamphire/store/object_follower.h
+++ b/src/libsamphire/store/object_follower.h
@@ -13,40 +13,53 @@
 
 namespace samphire {
 
-// Follows all objects under one prefix, with a thread of its own, for as long
-// as it lives. Needs a watcher that tells values, and lists everything when
-// asked from cursor 0.
+// Keeps a copy of all objects under one prefix up to date by consecutive
+// watches, on a thread of its own that runs until destruction. Requires a
+// watcher whose events contain values and which lists all objects when watched
+// from cursor 0.
 class object_follower {
  public:
-  using change_sink = std::function<void(const object_mirror::object_map&)>;
+  // Receives all objects, by key. Runs on the follower's thread.
+  using change_handler = std::function<void(const object_mirror::object_map&)>;
 
+  // `on_change` is called with the first complete listing and after each
+  // change. `store` and `clock` must outlive the follower.
   object_follower(object_watcher& store,
                   const clock_source& clock,
                   std::string prefix,
-                  change_sink on_change);
+                  change_handler on_change);
 
+  // Starts the thread. To be called once.
   void Start();
-  // Has the present objects told again within a few seconds: what they mean
-  // to the sink has changed.
-  void TellAgain() { tell_again_ = true; }
+  // Causes the current objects to be passed to the handler again within a few
+  // seconds, because their meaning to the handler has changed. May be called
+  // from any thread.
+  void RequestRedelivery() { redelivery_requested_ = true; }
 
  private:
-  // One call to the store and what follows from it; how long to pause then.
+  // Makes one watch and processes its result. Returns the delay before the next
+  // one.
   milliseconds Step();
-  milliseconds OnFailure(const error& why);
-  void OnContact();
+  // Logs the start of an outage and removes expired objects. Returns the
+  // backoff.
+  milliseconds OnFailure(const error& failure);
+  // Logs the end of an outage and resets the backoff.
+  void OnSuccess();
 
   object_watcher& store_;
   const clock_source& clock_;
   const std::string prefix_;
-  const change_sink on_change_;
+  const change_handler on_change_;
   object_mirror mirror_;
-  bool told_once_ = false;
-  std::atomic<bool> tell_again_ = false;
-  bool lost_ = false;
+  // Whether the handler has been called.
+  bool delivered_once_ = false;
+  std::atomic<bool> redelivery_requested_ = false;
+  // Whether the last watch failed.
+  bool disconnected_ = false;
+  // Time of the last successful watch.
   time_point last_contact_;
-  milliseconds pause_{0};
-  // Last, so that it stops before what it uses is gone.
+  milliseconds backoff_{0};
+  // Declared last, so that it stops before the members it uses are destroyed.
   stoppable_thread thread_;
 };
 
--- a/src/libsamphire/store/object_mirror.h
+++ b/src/libsamphire/store/object_mirror.h
@@ -12,33 +12,42 @@
 
 namespace samphire {
 
-// A copy of the objects under one prefix, as watches of one source or another
-// tell of them. Knows no threads and no clock.
+// A copy of the objects under one prefix, built from the results of successive
+// watches of one or several sources with common revisions. Never returns to an
+// older state when it changes sources. Not thread-safe; makes no calls and
+// receives the time from its caller.
 class object_mirror {
  public:
+  // Values by key.
   using object_map = std::map<std::string, std::string>;
 
-  // Where the next watch goes on; 0 asks for everything.
+  // The cursor from which the next watch has to continue; 0 requests a full
+  // listing.
   std::uint64_t cursor() const { return cursor_; }
-  // Takes in what a watch from `cursor` told; true if the objects changed.
+  // Applies the result of a watch from `cursor`. Returns whether the objects
+  // changed.
   bool Apply(const watch_batch& batch, time_point now);
-  // Lets go of what was missing for long enough; true if anything was.
+  // Removes the objects whose removal was delayed and is due at `now`. Returns
+  // whether any was removed.
   bool Expire(time_point now);
-  // When Expire is due, if it is.
+  // Returns when Expire is to be called, if any removal is delayed.
   std::optional<time_point> expiry() const;
 
-  // By key; the values.
+  // The current objects, including those whose removal is delayed.
   const object_map& objects() const { return objects_; }
 
  private:
+  // Removes the objects, or delays their removal if they are many. Returns
+  // whether any was removed at once.
   bool Remove(const std::set<std::string>& keys, time_point now);
 
   std::uint64_t cursor_ = 0;
-  // The highest cursor so far.
-  std::uint64_t newest_ = 0;
+  // The highest cursor applied so far; batches with a lower one are skipped.
+  std::uint64_t highest_cursor_ = 0;
   object_map objects_;
-  // Objects that are held though they were told to be gone, and until when.
-  std::map<std::string, time_point> missing_;
+  // Objects that were reported deleted but are still kept, and the time of
+  // their removal.
+  std::map<std::string, time_point> pending_removals_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/store/object_relay.h
+++ b/src/libsamphire/store/object_relay.h
@@ -15,65 +15,83 @@
 
 namespace samphire {
 
-// Hands on to peers what this entry's own watches of the platform told, under
-// the platform's own revisions, so that a peer can change between sources.
+// Forwards to peers the results of this entry's own watches of the platform.
+// Uses the platform's revisions as cursors, so that a peer can switch between
+// sources at any time. Thread-safe.
 class object_relay {
  public:
   explicit object_relay(const clock_source& clock) : clock_(clock) {}
 
-  // A watch has returned; `confirmed` if it was the platform's own.
+  // Applies the result of a watch under `prefix` and wakes up waiting peers.
+  // `confirmed` if it came from the platform itself rather than from a peer.
   void Publish(const std::string& prefix,
                const watch_batch& batch,
                bool confirmed = true);
 
-  // As a watch of the platform from `cursor`, but kStoreUnreachable once what
-  // is known here is too old to be relied on. With `await_fresh` it waits for a
-  // copy that isn't, and not for changes to one that is.
+  // Serves a watch like the platform, from `cursor` and for at most `wait`, but
+  // returns kStoreUnreachable when the replica is not fresh, that is, was not
+  // confirmed by the platform recently enough. With `await_fresh` it waits
+  // until the replica becomes fresh, and does not wait for changes to a fresh
+  // one.
   result<watch_batch> Watch(const std::string& prefix,
                             std::uint64_t cursor,
                             milliseconds wait,
                             bool await_fresh = false);
-  // All that is known here, however old; kStoreUnreachable if nothing is.
+  // Returns all objects known under `prefix`, regardless of their age;
+  // kStoreUnreachable if no listing has been received yet.
   result<watch_batch> LastKnown(const std::string& prefix);
 
  private:
-  struct held_object {
+  // Value and version of an object.
+  struct stored_object {
     std::uint64_t version = 0;
     std::string value;
   };
+  // An event and the cursor of the batch that contained it.
   struct logged_event {
     std::uint64_t revision = 0;
     store_event event;
   };
-  // Between two revisions of which the events are not known one by one.
+  // The range between two revisions within which the individual events are
+  // unknown.
   struct gap {
     std::uint64_t after = 0;
     std::uint64_t before = 0;
   };
-  struct copy {
-    std::map<std::string, held_object> objects;
+  // The copy of the objects under one prefix.
+  struct prefix_replica {
+    std::map<std::string, stored_object> objects;
     std::deque<logged_event> log;
-    // Events up to this revision are no longer in the log.
-    std::uint64_t floor = 0;
+    // Events up to and including this revision are not in the log any more.
+    std::uint64_t log_start = 0;
+    // In ascending order; dropped with the part of the log that contains them.
     std::deque<gap> gaps;
+    // Revision of the last applied batch; 0 before the first.
     std::uint64_t cursor = 0;
-    time_point confirmed;
+    // When the platform last confirmed the replica.
+    time_point confirmed_at;
   };
 
-  bool IsFresh(const copy& held) const;
-  // Whether the log tells everything that happened after `cursor`.
-  static bool TellsAll(const copy& held, std::uint64_t cursor);
-  static watch_batch Snapshot(const copy& held);
-  static watch_batch Since(const copy& held, std::uint64_t cursor);
-  static void Take(copy& held, const watch_batch& batch);
-  // What a new listing changes in what is held.
-  static std::vector<store_event> Differences(const copy& held,
+  // Whether the platform confirmed the replica recently enough to serve it.
+  bool IsFresh(const prefix_replica& replica) const;
+  // Whether the log contains all events after `cursor`.
+  static bool CoversChangesSince(const prefix_replica& replica,
+                                 std::uint64_t cursor);
+  // Returns a full listing.
+  static watch_batch Snapshot(const prefix_replica& replica);
+  // Returns the logged events after `cursor`.
+  static watch_batch ChangesSince(const prefix_replica& replica,
+                                  std::uint64_t cursor);
+  // Applies a batch to the objects and the log.
+  static void ApplyBatch(prefix_replica& replica, const watch_batch& batch);
+  // Returns the events that turn the replica into `listing`.
+  static std::vector<store_event> DiffListing(const prefix_replica& replica,
                                               const watch_batch& listing);
 
   const clock_source& clock_;
   std::mutex lock_;
   std::condition_variable changed_;
-  std::map<std::string, copy> copies_;
+  std::map<std::string, prefix_replica> replicas_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/store/object_store.h
+++ b/src/libsamphire/store/object_store.h
@@ -12,22 +12,27 @@
 
 namespace samphire {
 
-// The platform's object API. Calls block; errors are kStoreUnreachable (the
-// call did not take effect), kStoreOutcomeUnknown (it may have),
-// kStoreConflict, kStoreNotFound, kStoreValueTooLarge and kStoreRefused.
+// The platform's object API. Calls block and may be made from any thread.
+// Errors are kStoreUnreachable (the call had no effect), kStoreOutcomeUnknown
+// (it may have had an effect), kStoreConflict, kStoreNotFound,
+// kStoreValueTooLarge and kStoreRefused.
 class object_store : public object_watcher {
  public:
+  // Returns the object; kStoreNotFound if it does not exist.
   virtual result<store_object> Get(const std::string& key) = 0;
 
-  // Writes if the object's version is `expected` (0: it must not exist) and
-  // returns the new version.
+  // Writes `value` if the current version is `expected` (0: the object must not
+  // exist) and returns the new version; kStoreConflict otherwise.
   virtual result<std::uint64_t> Put(const std::string& key,
                                     const std::string& value,
                                     std::uint64_t expected) = 0;
+  // Deletes the object if its version is `expected`; kStoreConflict otherwise.
   virtual result<void> Delete(const std::string& key,
                               std::uint64_t expected) = 0;
+  // Returns all objects whose keys begin with `prefix`.
   virtual result<std::vector<store_object>> List(const std::string& prefix) = 0;
 
+  // Returns the instance list, which may lag behind reality.
   virtual result<std::vector<instance_info>> Instances() = 0;
 };
 
--- a/src/libsamphire/store/object_watcher.h
+++ b/src/libsamphire/store/object_watcher.h
@@ -10,21 +10,21 @@
 
 namespace samphire {
 
-// What tells of changes to the platform's objects. Calls block; an error is
-// kStoreUnreachable or kStoreCorrupt.
+// A source of changes to the platform's objects: the platform itself or a peer.
+// Calls block; errors are kStoreUnreachable and kStoreCorrupt.
 class object_watcher {
  public:
   virtual ~object_watcher() = default;
 
-  // Waits up to `wait` for writes under `prefix` after `cursor`; an empty
-  // batch means that there were none. Cursor 0 returns the present cursor.
+  // Waits up to `wait` for writes under `prefix` after `cursor`. An empty batch
+  // means that there were none. Cursor 0 returns the current cursor at once.
   virtual result<watch_batch> Watch(const std::string& prefix,
                                     std::uint64_t cursor,
                                     milliseconds wait) = 0;
 
-  // Everything under `prefix` as it was some seconds ago at most, which costs
-  // the platform less than a watch from 0. A watch from its cursor tells what
-  // changed since.
+  // Returns a listing of everything under `prefix` that is at most some seconds
+  // old, which costs the platform less than a watch from 0. A watch from the
+  // listing's cursor returns the changes since then.
   virtual result<watch_batch> ListLagging(const std::string& prefix) {
     return Watch(prefix, 0, milliseconds{0});
   }
--- a/src/libsamphire/store/stand_in_faults.h
+++ b/src/libsamphire/store/stand_in_faults.h
@@ -9,14 +9,19 @@
 
 namespace samphire {
 
-// Faults that the stand-in platform shows on demand, and its count of calls.
+// Faults that the stand-in platform injects on demand, and its counters of
+// calls. Read and written by any thread.
 struct stand_in_faults {
+  // While set, every call of the platform protocol fails with 503.
   std::atomic<bool> down{false};
+  // Delay of each call in milliseconds.
   std::atomic<int> slow_ms{0};
-  // How many of the next writes take effect and are never answered.
-  std::atomic<int> lose_answers{0};
-  // How many of the next writes are neither run nor answered.
-  std::atomic<int> lose_requests{0};
+  // Number of subsequent writes that take effect but whose responses are
+  // dropped.
+  std::atomic<int> drop_responses{0};
+  // Number of subsequent writes that are neither executed nor responded to.
+  std::atomic<int> drop_requests{0};
+  // Number of calls so far, by store_call.
   std::array<std::atomic<std::int64_t>, kStoreCallNames.size()> calls{};
 };
 
--- a/src/libsamphire/store/stand_in_handler.cc
+++ b/src/libsamphire/store/stand_in_handler.cc
@@ -17,17 +17,18 @@
 
 namespace {
 
-constexpr std::string_view kObjects = "/v1/objects/";
-constexpr std::string_view kInstances = "/v1/instances/";
-constexpr long long kMaxWatchMs = 60'000;
+constexpr std::string_view kObjectsPath = "/v1/objects/";
+constexpr std::string_view kInstancesPath = "/v1/instances/";
+// Upper bound on the wait time that a watch may request.
+constexpr long long kMaxWatchWaitMs = 60'000;
 
-std::string Body(Poco::Net::HTTPServerRequest& request) {
+std::string ReadBody(Poco::Net::HTTPServerRequest& request) {
   std::string body;
   Poco::StreamCopier::copyToString(request.stream(), body);
   return body;
 }
 
-std::string Parameter(const Poco::URI& uri, std::string_view name) {
+std::string QueryParameter(const Poco::URI& uri, std::string_view name) {
   for (const auto& [key, value] : uri.getQueryParameters()) {
     if (key == name)
       return value;
@@ -35,56 +36,58 @@
   return {};
 }
 
-std::uint64_t Number(const std::string& text) {
+std::uint64_t ParseNumber(const std::string& text) {
   return text.empty() ? 0 : std::stoull(text);
 }
 
-std::string After(const std::string& path, std::string_view prefix) {
+std::string StripPrefix(const std::string& path, std::string_view prefix) {
   return path.substr(std::min(path.size(), prefix.size()));
 }
 
-int StatusOf(const error& why) {
-  return InfoOf(why.code).http_status;
+int StatusOf(const error& failure) {
+  return InfoOf(failure.code).http_status;
 }
 
-// Takes one of the faults that are left, if any is.
-bool TakeOne(std::atomic<int>& left) {
-  int present = left.load();
-  while (present > 0 && !left.compare_exchange_weak(present, present - 1)) {
+// Consumes one of the remaining faults. Returns false if none remains.
+bool ConsumeFault(std::atomic<int>& remaining) {
+  int current = remaining.load();
+  while (current > 0 &&
+         !remaining.compare_exchange_weak(current, current - 1)) {
   }
-  return present > 0;
+  return current > 0;
 }
 
 }  // namespace
 
 void stand_in_handler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                      Poco::Net::HTTPServerResponse& response) {
-  std::optional<reply> answer;
+  std::optional<reply> reply_to_send;
   try {
     const Poco::URI uri(request.getURI());
     const auto call = CallOf(request.getMethod(), uri.getPath());
-    answer = call ? Serve(*call, request, uri) : Control(request, uri);
+    reply_to_send =
+        call ? Serve(*call, request, uri) : HandleControl(request, uri);
   } catch (const std::exception& e) {
     Log(log_level::kWarning, "bad-request", {{"detail", e.what()}});
-    answer = reply{400, {}, {}};
+    reply_to_send = reply{400, {}, {}};
   }
-  if (!answer) {
+  if (!reply_to_send) {
     static_cast<Poco::Net::HTTPServerRequestImpl&>(request).socket().shutdown();
     response.setKeepAlive(false);
     return;
   }
   response.setStatusAndReason(
-      static_cast<Poco::Net::HTTPResponse::HTTPStatus>(answer->status));
-  if (!answer->etag.empty())
-    response.set("Etag", answer->etag);
-  if (answer->status >= 500)
+      static_cast<Poco::Net::HTTPResponse::HTTPStatus>(reply_to_send->status));
+  if (!reply_to_send->etag.empty())
+    response.set("Etag", reply_to_send->etag);
+  if (reply_to_send->status >= 500)
     response.setKeepAlive(false);
-  response.sendBuffer(answer->body.data(), answer->body.size());
+  response.sendBuffer(reply_to_send->body.data(), reply_to_send->body.size());
 }
 
 std::optional<store_call> stand_in_handler::CallOf(const std::string& method,
                                                    const std::string& path) {
-  const bool object = path.starts_with(kObjects);
+  const bool object = path.starts_with(kObjectsPath);
   if (object && method == "GET")
     return store_call::kGet;
   if (object && method == "PUT")
@@ -109,27 +112,27 @@
   ++faults_.calls[static_cast<std::size_t>(call)];
   if (const int slow = faults_.slow_ms; slow > 0)
     std::this_thread::sleep_for(milliseconds(slow));
-  // The protocol's 503: refused before anything was done.
+  // In the platform's protocol, 503 guarantees that the call had no effect.
   const reply unavailable{503, {}, {}};
   if (faults_.down)
     return unavailable;
-  if (Writes(call) && TakeOne(faults_.lose_requests))
+  if (IsWrite(call) && ConsumeFault(faults_.drop_requests))
     return std::nullopt;
-  auto answer = Run(call, request, uri);
-  if (Writes(call) && TakeOne(faults_.lose_answers))
+  auto reply_to_send = Execute(call, request, uri);
+  if (IsWrite(call) && ConsumeFault(faults_.drop_responses))
     return std::nullopt;
-  // A watch that waited while the platform went down learns of it at once.
+  // A watch that was waiting when the platform went down fails at once.
   if (call == store_call::kWatch && faults_.down)
     return unavailable;
-  return answer;
+  return reply_to_send;
 }
 
-stand_in_handler::reply stand_in_handler::Run(
+stand_in_handler::reply stand_in_handler::Execute(
     store_call call,
     Poco::Net::HTTPServerRequest& request,
     const Poco::URI& uri) {
-  const auto key = After(uri.getPath(), kObjects);
-  const auto expected = Number(request.get("If-Match", "0"));
+  const auto key = StripPrefix(uri.getPath(), kObjectsPath);
+  const auto expected = ParseNumber(request.get("If-Match", "0"));
   switch (call) {
     case store_call::kGet: {
       auto got = objects_.Get(key);
@@ -139,26 +142,27 @@
               std::to_string(got.value().version)};
     }
     case store_call::kPut: {
-      const auto put = objects_.Put(key, Body(request), expected);
+      const auto put = objects_.Put(key, ReadBody(request), expected);
       if (!put)
         return {StatusOf(put.error()), {}, {}};
       return {200, fmt::format("{{\"version\":{}}}", put.value()), {}};
     }
     case store_call::kDelete: {
-      const auto gone = objects_.Delete(key, expected);
-      return {gone ? 200 : StatusOf(gone.error()), {}, {}};
+      const auto deleted = objects_.Delete(key, expected);
+      return {deleted ? 200 : StatusOf(deleted.error()), {}, {}};
     }
     case store_call::kList:
     case store_call::kLaggingList:
-      return {200,
-              WriteObjects(objects_.List(Parameter(uri, "prefix")).value()),
-              {}};
+      return {
+          200,
+          WriteObjects(objects_.List(QueryParameter(uri, "prefix")).value()),
+          {}};
     case store_call::kWatch: {
       const auto wait = std::min<std::uint64_t>(
-          Number(Parameter(uri, "wait_ms")), kMaxWatchMs);
-      const auto batch =
-          objects_.Watch(Parameter(uri, "prefix"),
-                         Number(Parameter(uri, "after")), milliseconds(wait));
+          ParseNumber(QueryParameter(uri, "wait_ms")), kMaxWatchWaitMs);
+      const auto batch = objects_.Watch(
+          QueryParameter(uri, "prefix"),
+          ParseNumber(QueryParameter(uri, "after")), milliseconds(wait));
       return {200, WriteBatch(batch.value()), {}};
     }
     case store_call::kInstances:
@@ -167,24 +171,24 @@
   return {404, {}, {}};
 }
 
-stand_in_handler::reply stand_in_handler::Control(
+stand_in_handler::reply stand_in_handler::HandleControl(
     Poco::Net::HTTPServerRequest& request,
     const Poco::URI& uri) {
   const auto& method = request.getMethod();
   const auto& path = uri.getPath();
   if (method == "POST" && path == "/v1/faults")
-    return SetFaults(Body(request));
+    return SetFaults(ReadBody(request));
   if (method == "GET" && path == "/v1/calls")
     return CallCounts();
-  if (path.starts_with(kInstances) && method == "DELETE") {
-    objects_.RemoveInstance(After(path, kInstances));
+  if (path.starts_with(kInstancesPath) && method == "DELETE") {
+    objects_.RemoveInstance(StripPrefix(path, kInstancesPath));
     return {};
   }
-  if (path.starts_with(kInstances) && method == "PUT") {
-    auto instance = ReadInstance(Body(request));
+  if (path.starts_with(kInstancesPath) && method == "PUT") {
+    auto instance = ReadInstance(ReadBody(request));
     if (!instance)
       return {400, {}, {}};
-    instance.value().name = After(path, kInstances);
+    instance.value().name = StripPrefix(path, kInstancesPath);
     objects_.SetInstance(instance.value());
     return {};
   }
@@ -197,13 +201,13 @@
     return {400, {}, {}};
   faults_.down = json->optValue("down", faults_.down.load());
   faults_.slow_ms = json->optValue("slow_ms", faults_.slow_ms.load());
-  faults_.lose_answers =
-      json->optValue("lose_answers", faults_.lose_answers.load());
-  faults_.lose_requests =
-      json->optValue("lose_requests", faults_.lose_requests.load());
+  faults_.drop_responses =
+      json->optValue("lose_answers", faults_.drop_responses.load());
+  faults_.drop_requests =
+      json->optValue("lose_requests", faults_.drop_requests.load());
   if (json->has("instance_lag_ms"))
     objects_.SetInstanceLag(milliseconds(json->optValue("instance_lag_ms", 0)));
-  objects_.SetWatchesCut(faults_.down);
+  objects_.SetWatchesInterrupted(faults_.down);
   return {};
 }
 
--- a/src/libsamphire/store/stand_in_handler.h
+++ b/src/libsamphire/store/stand_in_handler.h
@@ -14,7 +14,9 @@
 
 namespace samphire {
 
-// Answers one request of the platform's protocol.
+// Handles one request of the platform's protocol, on a thread of the HTTP
+// server. `objects` and `faults` are shared by all handlers and must outlive
+// them.
 class stand_in_handler final : public Poco::Net::HTTPRequestHandler {
  public:
   stand_in_handler(stand_in_objects& objects, stand_in_faults& faults)
@@ -24,24 +26,30 @@
                      Poco::Net::HTTPServerResponse& response) override;
 
  private:
-  // An answer before it is sent.
+  // A response before it is sent.
   struct reply {
     int status = 200;
     std::string body;
     std::string etag;
   };
 
+  // Returns the kind of a call of the platform's protocol, or nothing for any
+  // other request.
   static std::optional<store_call> CallOf(const std::string& method,
                                           const std::string& path);
-  // Runs a counted call under the faults; empty: the connection is cut.
+  // Counts the call and executes it under the injected faults. Returns nothing
+  // if the connection is to be closed without a response.
   std::optional<reply> Serve(store_call call,
                              Poco::Net::HTTPServerRequest& request,
                              const Poco::URI& uri);
-  reply Run(store_call call,
-            Poco::Net::HTTPServerRequest& request,
-            const Poco::URI& uri);
-  // The stand-in's own calls: instances, faults, counts.
-  reply Control(Poco::Net::HTTPServerRequest& request, const Poco::URI& uri);
+  // Executes the call without faults.
+  reply Execute(store_call call,
+                Poco::Net::HTTPServerRequest& request,
+                const Poco::URI& uri);
+  // Handles the calls that control the stand-in itself: instances, faults, call
+  // counters.
+  reply HandleControl(Poco::Net::HTTPServerRequest& request,
+                      const Poco::URI& uri);
   reply SetFaults(const std::string& body);
   reply CallCounts() const;
 
--- a/src/libsamphire/store/stand_in_objects.cc
+++ b/src/libsamphire/store/stand_in_objects.cc
@@ -3,8 +3,8 @@
 namespace samphire {
 
 stand_in_objects::stand_in_objects(const clock_source& clock,
-                                   std::size_t kept_events)
-    : clock_(clock), kept_events_(kept_events) {}
+                                   std::size_t max_logged_events)
+    : clock_(clock), max_logged_events_(max_logged_events) {}
 
 result<store_object> stand_in_objects::Get(const std::string& key) {
   std::lock_guard guard(lock_);
@@ -21,9 +21,9 @@
     return MakeError(result_code::kStoreValueTooLarge, key);
   std::lock_guard guard(lock_);
   const auto found = objects_.find(key);
-  const std::uint64_t present =
+  const std::uint64_t current =
       found == objects_.end() ? 0 : found->second.version;
-  if (present != expected)
+  if (current != expected)
     return MakeError(result_code::kStoreConflict, key);
   const std::uint64_t version = revision_ + 1;
   objects_[key] = store_object{key, version, value};
@@ -65,8 +65,9 @@
     batch.cursor = revision_;
     return batch;
   }
-  changed_.wait_for(guard, wait,
-                    [&] { return watches_cut_ || Collect(prefix, batch); });
+  changed_.wait_for(guard, wait, [&] {
+    return watches_interrupted_ || CollectEvents(prefix, batch);
+  });
   batch.cursor = revision_;
   return batch;
 }
@@ -91,26 +92,27 @@
   instances_.set_lag(lag);
 }
 
-void stand_in_objects::SetWatchesCut(bool cut) {
+void stand_in_objects::SetWatchesInterrupted(bool interrupted) {
   std::lock_guard guard(lock_);
-  watches_cut_ = cut;
+  watches_interrupted_ = interrupted;
   changed_.notify_all();
 }
 
 void stand_in_objects::Record(const std::string& key, std::uint64_t version) {
   ++revision_;
   log_.push_back({revision_, {key, version}});
-  if (log_.size() > kept_events_) {
-    forgotten_ = log_.front().cursor;
+  if (log_.size() > max_logged_events_) {
+    trimmed_cursor_ = log_.front().cursor;
     log_.pop_front();
   }
   changed_.notify_all();
 }
 
-bool stand_in_objects::Collect(const std::string& prefix,
-                               watch_batch& batch) const {
-  // A cursor from the future comes from before a restart that lost the log.
-  batch.reset = batch.cursor < forgotten_ || batch.cursor > revision_;
+bool stand_in_objects::CollectEvents(const std::string& prefix,
+                                     watch_batch& batch) const {
+  // A cursor above the current revision was issued before a restart that lost
+  // the log.
+  batch.reset = batch.cursor < trimmed_cursor_ || batch.cursor > revision_;
   batch.events.clear();
   if (batch.reset)
     return true;
--- a/src/libsamphire/store/stand_in_objects.h
+++ b/src/libsamphire/store/stand_in_objects.h
@@ -15,15 +15,18 @@
 
 namespace samphire {
 
-// The stand-in platform's objects, watches and instance list in memory. Never
-// fails by itself; the faults are the server's.
+// The stand-in platform's objects, watches and instance list, in memory.
+// Thread-safe. Never fails by itself; faults are injected by stand_in_server.
 class stand_in_objects final : public object_store {
  public:
+  // Maximum size of a value in bytes; larger ones are refused with
+  // kStoreValueTooLarge.
   static constexpr std::size_t kMaxValueBytes = 1 << 20;
 
-  // A watch that asks for more than the last `kept_events` gets a reset.
+  // A watch whose cursor is older than the last `max_logged_events` events
+  // returns a batch with `reset` set.
   explicit stand_in_objects(const clock_source& clock,
-                            std::size_t kept_events = 10'000);
+                            std::size_t max_logged_events = 10'000);
 
   result<store_object> Get(const std::string& key) override;
   result<std::uint64_t> Put(const std::string& key,
@@ -36,12 +39,13 @@
                             milliseconds wait) override;
   result<std::vector<instance_info>> Instances() override;
 
+  // Change the instance list; visible after the lag.
   void SetInstance(const instance_info& instance);
   void RemoveInstance(const std::string& name);
   void SetInstanceLag(milliseconds lag);
 
-  // While set, no watch waits, as in an outage.
-  void SetWatchesCut(bool cut);
+  // While set, watches return at once without waiting, as in an outage.
+  void SetWatchesInterrupted(bool interrupted);
 
  private:
   struct logged_event {
@@ -49,21 +53,25 @@
     store_event event;
   };
 
+  // Assigns the next revision to a write and logs it. Expects lock_ to be held.
   void Record(const std::string& key, std::uint64_t version);
-  bool Collect(const std::string& prefix, watch_batch& batch) const;
+  // Fills `batch` with the events after its cursor. Returns whether the watch
+  // may return. Expects lock_ to be held.
+  bool CollectEvents(const std::string& prefix, watch_batch& batch) const;
 
   const clock_source& clock_;
-  const std::size_t kept_events_;
+  const std::size_t max_logged_events_;
   std::mutex lock_;
   std::condition_variable changed_;
   std::map<std::string, store_object> objects_;
   std::deque<logged_event> log_;
   stand_in_instances instances_;
-  // Starts at 1, since cursor 0 asks for the present one.
+  // Revision of the last write. Starts at 1, since cursor 0 requests the
+  // current cursor.
   std::uint64_t revision_ = 1;
-  // The cursor up to which events were dropped from `log_`.
-  std::uint64_t forgotten_ = 1;
-  bool watches_cut_ = false;
+  // The cursor up to which events were removed from `log_`.
+  std::uint64_t trimmed_cursor_ = 1;
+  bool watches_interrupted_ = false;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/store/stand_in_server.cc
+++ b/src/libsamphire/store/stand_in_server.cc
@@ -10,11 +10,12 @@
 
 namespace {
 
-// POCO gives each open connection a thread, and each waiting watch holds one.
-// Sized for a test fleet of some dozen instances with a few connections each.
+// POCO uses one thread per open connection, and each waiting watch occupies
+// one. Dimensioned for a test fleet of several dozen instances with a few
+// connections each.
 constexpr int kMaxConnections = 512;
-constexpr int kBacklog = 256;
-constexpr int kIdleSeconds = 60;
+constexpr int kListenBacklog = 256;
+constexpr int kKeepAliveTimeoutSeconds = 60;
 
 class handler_factory final : public Poco::Net::HTTPRequestHandlerFactory {
  public:
@@ -36,7 +37,7 @@
   params->setMaxThreads(kMaxConnections);
   params->setMaxQueued(kMaxConnections);
   params->setKeepAlive(true);
-  params->setKeepAliveTimeout(Poco::Timespan(kIdleSeconds, 0));
+  params->setKeepAliveTimeout(Poco::Timespan(kKeepAliveTimeoutSeconds, 0));
   return params;
 }
 
@@ -48,7 +49,7 @@
     : objects_(objects), threads_(2, kMaxConnections) {
   Poco::Net::ServerSocket socket;
   socket.bind(Poco::Net::SocketAddress(address), true);
-  socket.listen(kBacklog);
+  socket.listen(kListenBacklog);
   server_ = std::make_unique<Poco::Net::HTTPServer>(
       new handler_factory(objects_, faults_), threads_, socket, Params());
   server_->start();
@@ -56,10 +57,10 @@
 
 stand_in_server::~stand_in_server() {
   faults_.down = true;
-  objects_.SetWatchesCut(true);
+  objects_.SetWatchesInterrupted(true);
   server_->stopAll(true);
   threads_.joinAll();
-  objects_.SetWatchesCut(false);
+  objects_.SetWatchesInterrupted(false);
 }
 
 std::string stand_in_server::address() const {
--- a/src/libsamphire/store/stand_in_server.h
+++ b/src/libsamphire/store/stand_in_server.h
@@ -12,17 +12,18 @@
 
 namespace samphire {
 
-// The platform's protocol over HTTP, on stand-in objects. Serves from its
-// construction to its end.
+// Serves the platform's protocol over HTTP from stand-in objects, on threads of
+// its own, from construction to destruction.
 class stand_in_server {
  public:
-  // `address` is IP:PORT; port 0 takes a free one. Throws a Poco exception if
-  // it can't be bound.
+  // `address` is IP:PORT; port 0 selects a free one. `objects` must outlive the
+  // server. Throws a Poco exception if the address cannot be bound.
   stand_in_server(const std::string& address, stand_in_objects& objects);
   ~stand_in_server();
 
-  // IP:PORT that it listens on.
+  // The address that it listens on, IP:PORT.
   std::string address() const;
+  // The faults to inject; may be changed at any time.
   stand_in_faults& faults() { return faults_; }
 
  private:
--- a/src/libsamphire/store/store_call.h
+++ b/src/libsamphire/store/store_call.h
@@ -5,7 +5,7 @@
 
 namespace samphire {
 
-// The kinds of calls to the platform, as they are counted.
+// The kinds of calls to the platform, as counted in the store metrics.
 enum class store_call {
   kGet,
   kPut,
@@ -13,10 +13,11 @@
   kList,
   kWatch,
   kInstances,
-  // A listing that may be some seconds old.
+  // A listing that may be some seconds old, which costs the platform less.
   kLaggingList,
 };
 
+// Names of the kinds in the labels of the store metrics.
 inline constexpr enum_names<store_call, 7> kStoreCallNames{{
     {store_call::kGet, "get"},
     {store_call::kPut, "put"},
@@ -27,8 +28,9 @@
     {store_call::kLaggingList, "lagging_list"},
 }};
 
-// Whether a call may change the platform, so that a lost answer matters.
-constexpr bool Writes(store_call call) {
+// Returns whether a call may modify objects, so that the outcome of a call
+// without a response is unknown.
+constexpr bool IsWrite(store_call call) {
   return call == store_call::kPut || call == store_call::kDelete;
 }
 
--- a/src/libsamphire/store/store_event.h
+++ b/src/libsamphire/store/store_event.h
@@ -7,11 +7,12 @@
 
 namespace samphire {
 
-// One write that a watch tells of; `version` 0 means that the object is gone.
+// One write reported by a watch. `version` is the object's new version; 0 means
+// that the object was deleted.
 struct store_event {
   std::string key;
   std::uint64_t version = 0;
-  // The value, where the platform tells it with the event.
+  // The new value, if the source includes values in its events.
   std::optional<std::string> value;
 };
 
--- a/src/libsamphire/store/store_http_call.h
+++ b/src/libsamphire/store/store_http_call.h
@@ -15,14 +15,17 @@
   std::string uri;
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
-  // It may change the platform, so that a lost answer matters.
+  // Whether the call may modify objects, so that its outcome is unknown without
+  // a response.
   bool writes = false;
+  // From the first byte of the request to the last byte of the response.
   milliseconds timeout{0};
 };
 
-// A whole answer, whatever its status.
+// A complete response, whatever its status.
 struct store_http_reply {
   int status = 0;
+  // Empty if the response has no Etag.
   std::string etag;
   std::string body;
 };
--- a/src/libsamphire/store/store_json.cc
+++ b/src/libsamphire/store/store_json.cc
@@ -14,13 +14,13 @@
 
 using json_object = Poco::JSON::Object::Ptr;
 
-error Corrupt(std::string_view what) {
+error CorruptError(std::string_view what) {
   return MakeError(result_code::kStoreCorrupt, std::string(what));
 }
 
-// Joins what `write` makes of each item by commas.
+// Returns the results of `write` for all items, joined by commas.
 template <typename T, typename F>
-std::string Joined(const std::vector<T>& items, F&& write) {
+std::string JoinWithCommas(const std::vector<T>& items, F&& write) {
   std::string text;
   for (const auto& item : items) {
     if (!text.empty())
@@ -30,36 +30,36 @@
   return text;
 }
 
-// Reads the array `name` of the object in `text`, each item by `read`.
+// Parses the array `name` of `json`, each item by `read`.
 template <typename T>
 result<std::vector<T>> ReadArray(const json_object& json,
                                  const std::string& name,
                                  T (*read)(const Poco::JSON::Object&)) {
   if (json.isNull() || !json->isArray(name))
-    return Corrupt(name);
+    return CorruptError(name);
   std::vector<T> items;
   const auto array = json->getArray(name);
   for (std::size_t i = 0; i < array->size(); ++i) {
     const auto item = array->getObject(static_cast<unsigned>(i));
     if (item.isNull())
-      return Corrupt(name);
+      return CorruptError(name);
     items.push_back(read(*item));
   }
   return items;
 }
 
-store_object ObjectOf(const Poco::JSON::Object& json) {
+store_object ParseStoreObject(const Poco::JSON::Object& json) {
   return {json.getValue<std::string>("key"),
           json.getValue<std::uint64_t>("version"),
           json.getValue<std::string>("value")};
 }
 
-store_event EventOf(const Poco::JSON::Object& json) {
+store_event ParseStoreEvent(const Poco::JSON::Object& json) {
   return {json.getValue<std::string>("key"),
           json.getValue<std::uint64_t>("version")};
 }
 
-instance_info InstanceOf(const Poco::JSON::Object& json) {
+instance_info ParseInstanceInfo(const Poco::JSON::Object& json) {
   instance_info info;
   info.name = json.optValue<std::string>("name", "");
   info.role = json.optValue<std::string>("role", "");
@@ -72,13 +72,14 @@
   return info;
 }
 
-// Runs `read`; what POCO throws over missing or mistyped members is an error.
+// Calls `read` and turns POCO's exceptions for missing or mistyped members into
+// kStoreCorrupt.
 template <typename T>
-result<T> Guarded(const std::function<result<T>()>& read) {
+result<T> CatchParseErrors(const std::function<result<T>()>& read) {
   try {
     return read();
   } catch (const Poco::Exception& e) {
-    return Corrupt(e.displayText());
+    return CorruptError(e.displayText());
   }
 }
 
@@ -102,12 +103,13 @@
                        JsonQuote(object.key), object.version,
                        JsonQuote(object.value));
   };
-  return "{\"objects\":[" + Joined(objects, write) + "]}";
+  return "{\"objects\":[" + JoinWithCommas(objects, write) + "]}";
 }
 
 result<std::vector<store_object>> ReadObjects(const std::string& text) {
-  return Guarded<std::vector<store_object>>(
-      [&] { return ReadArray(ParseObject(text), "objects", ObjectOf); });
+  return CatchParseErrors<std::vector<store_object>>([&] {
+    return ReadArray(ParseObject(text), "objects", ParseStoreObject);
+  });
 }
 
 std::string WriteBatch(const watch_batch& batch) {
@@ -116,13 +118,14 @@
                        event.version);
   };
   return fmt::format(R"({{"cursor":{},"reset":{},"events":[{}]}})",
-                     batch.cursor, batch.reset, Joined(batch.events, write));
+                     batch.cursor, batch.reset,
+                     JoinWithCommas(batch.events, write));
 }
 
 result<watch_batch> ReadBatch(const std::string& text) {
-  return Guarded<watch_batch>([&]() -> result<watch_batch> {
+  return CatchParseErrors<watch_batch>([&]() -> result<watch_batch> {
     const auto json = ParseObject(text);
-    BOOST_OUTCOME_TRY(events, ReadArray(json, "events", EventOf));
+    BOOST_OUTCOME_TRY(events, ReadArray(json, "events", ParseStoreEvent));
     return watch_batch{json->getValue<std::uint64_t>("cursor"),
                        json->getValue<bool>("reset"), std::move(events)};
   });
@@ -138,28 +141,29 @@
 }
 
 std::string WriteInstances(const std::vector<instance_info>& instances) {
-  return "{\"instances\":[" + Joined(instances, WriteInstance) + "]}";
+  return "{\"instances\":[" + JoinWithCommas(instances, WriteInstance) + "]}";
 }
 
 result<std::vector<instance_info>> ReadInstances(const std::string& text) {
-  return Guarded<std::vector<instance_info>>(
-      [&] { return ReadArray(ParseObject(text), "instances", InstanceOf); });
+  return CatchParseErrors<std::vector<instance_info>>([&] {
+    return ReadArray(ParseObject(text), "instances", ParseInstanceInfo);
+  });
 }
 
 result<instance_info> ReadInstance(const std::string& text) {
-  return Guarded<instance_info>([&]() -> result<instance_info> {
+  return CatchParseErrors<instance_info>([&]() -> result<instance_info> {
     const auto json = ParseObject(text);
     if (json.isNull())
-      return Corrupt("instance");
-    return InstanceOf(*json);
+      return CorruptError("instance");
+    return ParseInstanceInfo(*json);
   });
 }
 
 result<std::uint64_t> ReadVersion(const std::string& text) {
-  return Guarded<std::uint64_t>([&]() -> result<std::uint64_t> {
+  return CatchParseErrors<std::uint64_t>([&]() -> result<std::uint64_t> {
     const auto json = ParseObject(text);
     if (json.isNull())
-      return Corrupt("version");
+      return CorruptError("version");
     return json->getValue<std::uint64_t>("version");
   });
 }
--- a/src/libsamphire/store/store_json.h
+++ b/src/libsamphire/store/store_json.h
@@ -13,10 +13,11 @@
 
 namespace samphire {
 
-// The JSON of the platform's protocol, for both its ends. Text that can't be
-// read is kStoreCorrupt.
+// Encoding and decoding of the JSON messages of the platform's protocol, for
+// client and server. The Read functions return kStoreCorrupt for text that
+// cannot be decoded.
 
-// The object that `text` holds; null if it holds none.
+// Returns the JSON object in `text`; null if it contains none.
 Poco::JSON::Object::Ptr ParseObject(const std::string& text);
 
 std::string WriteObjects(const std::vector<store_object>& objects);
@@ -30,7 +31,7 @@
 result<instance_info> ReadInstance(const std::string& text);
 std::string WriteInstance(const instance_info& instance);
 
-// The version in the answer to a write.
+// Returns the version in the response to a write.
 result<std::uint64_t> ReadVersion(const std::string& text);
 
 }  // namespace samphire
--- a/src/libsamphire/store/store_metrics.cc
+++ b/src/libsamphire/store/store_metrics.cc
@@ -9,9 +9,9 @@
                  fmt::format("kind=\"{}\"", NameOf(kStoreCallNames, call)));
 }
 
-void CountStoreError(metrics& counters, result_code why) {
+void CountStoreError(metrics& counters, result_code code) {
   counters.Count("store_errors_total",
-                 fmt::format("reason=\"{}\"", NameOf(why)));
+                 fmt::format("reason=\"{}\"", NameOf(code)));
 }
 
 }  // namespace samphire
--- a/src/libsamphire/store/store_metrics.h
+++ b/src/libsamphire/store/store_metrics.h
@@ -7,9 +7,10 @@
 
 namespace samphire {
 
-// The counters of every client of the platform's store.
+// Counters shared by all clients of the platform's object store: calls by kind
+// and errors by reason.
 void CountStoreCall(metrics& counters, store_call call);
-void CountStoreError(metrics& counters, result_code why);
+void CountStoreError(metrics& counters, result_code code);
 
 }  // namespace samphire
 
--- a/src/libsamphire/store/store_object.h
+++ b/src/libsamphire/store/store_object.h
@@ -6,7 +6,7 @@
 
 namespace samphire {
 
-// An object of the platform with its version, which rises with every write.
+// An object of the platform and its version, which increases with every write.
 struct store_object {
   std::string key;
   std::uint64_t version = 0;
--- a/src/libsamphire/store/watch_batch.h
+++ b/src/libsamphire/store/watch_batch.h
@@ -8,8 +8,9 @@
 
 namespace samphire {
 
-// What a watch returned. `cursor` is where the next watch goes on; `reset`
-// says that events were lost, so everything must be read anew.
+// The result of a watch. `cursor` is where the next watch continues; `reset`
+// means that events were lost and everything has to be read again, or that the
+// events are a full listing.
 struct watch_batch {
   std::uint64_t cursor = 0;
   bool reset = false;
--- a/src/libsamphire/traffic/permit_messages.h
+++ b/src/libsamphire/traffic/permit_messages.h
@@ -15,8 +15,8 @@
 // Bounds names of regions and peer addresses.
 inline constexpr std::size_t kMaxPermitLocationBytes = 64;
 
-// kPermitAsk: requests a permit for one run of a team's request. Answered by
-// kPermitAnswer with the same id.
+// kPermitRequest: requests a permit for one run of a team's request. Answered
+// by kPermitResponse with the same id.
 struct permit_request {
   // Unique among the requests of the sending process.
   std::uint64_t id = 0;
@@ -35,7 +35,7 @@
   kUnknownTeam,
 };
 
-// kPermitAnswer: the decision on a permit_request.
+// kPermitResponse: the decision on a permit_request.
 struct permit_response {
   // The id of the permit_request.
   std::uint64_t id = 0;
@@ -62,7 +62,7 @@
   }
 };
 
-// kPermitBorrow: requests a loan of permits from the team's owner in the
+// kPermitLoanRequest: requests a loan of permits from the team's owner in the
 // receiver's region, on behalf of the owner in the sender's region. Answered by
 // kPermitLoan.
 struct permit_loan_request {
--- a/src/libsamphire/traffic/placement_client.cc
+++ b/src/libsamphire/traffic/placement_client.cc
@@ -33,12 +33,12 @@
       metrics_(counters),
       next_id_(first_id) {
   transport_.OnMessage(
-      message_kind::kPlacingAnswer,
+      message_kind::kPlacementResponse,
       [this](const peer_message& message) { OnResponse(message); });
 }
 
 placement_client::~placement_client() {
-  transport_.OnMessage(message_kind::kPlacingAnswer, nullptr);
+  transport_.OnMessage(message_kind::kPlacementResponse, nullptr);
 }
 
 std::optional<remote_placement_response> placement_client::RequestPlacement(
@@ -47,9 +47,9 @@
   if (unresponsive_.IsPaused(owner_address, clock_.now()))
     return std::nullopt;
   request.id = next_id_++;
-  pending_.Expect(request.id, request.service);
-  const auto sent = transport_.Send(owner_address, message_kind::kPlacingAsk,
-                                    EncodeBinary(request));
+  pending_.Register(request.id, request.service);
+  const auto sent = transport_.Send(
+      owner_address, message_kind::kPlacementRequest, EncodeBinary(request));
   auto response = pending_.Await(
       request.id, sent ? ResponseTimeout(request) : milliseconds{0});
   if (!response) {
@@ -91,7 +91,7 @@
     end_report.waiting = end.report->waiting;
     end_report.slots = end.report->slots;
   }
-  const auto sent = transport_.Send(owner_address, message_kind::kPlacingEnd,
+  const auto sent = transport_.Send(owner_address, message_kind::kPlacementEnd,
                                     EncodeBinary(end_report));
   if (!sent)
     metrics_.CountRetry(sent.error().code);
--- a/src/libsamphire/traffic/placement_client.h
+++ b/src/libsamphire/traffic/placement_client.h
@@ -9,8 +9,8 @@
 #include "base/clock_source.h"
 #include "base/pause_list.h"
 #include "metrics/metrics.h"
-#include "peer/answer_waiter.h"
 #include "peer/peer_transport.h"
+#include "peer/response_waiter.h"
 #include "routing/attempt_end.h"
 #include "routing/placement_criteria.h"
 #include "traffic/placement_messages.h"
@@ -55,7 +55,7 @@
   pause_list unresponsive_;
   // The context is the service, which is needed to end the lease granted by a
   // late response.
-  answer_waiter<remote_placement_response, std::string> pending_;
+  response_waiter<remote_placement_response, std::string> pending_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/placement_messages.h
+++ b/src/libsamphire/traffic/placement_messages.h
@@ -37,8 +37,8 @@
     archive(Bounded<kLength>(name));
 }
 
-// kPlacingAsk: requests a target for one attempt. Answered by kPlacingAnswer
-// with the same id.
+// kPlacementRequest: requests a target for one attempt. Answered by
+// kPlacementResponse with the same id.
 struct remote_placement_request {
   // Unique among the requests of the sending process; also the id of the lease
   // if the attempt is placed.
@@ -80,7 +80,7 @@
   kPlaceLocally,
 };
 
-// kPlacingAnswer: the owner's decision on a remote_placement_request.
+// kPlacementResponse: the owner's decision on a remote_placement_request.
 struct remote_placement_response {
   std::uint64_t id = 0;
   remote_placement_verdict verdict = remote_placement_verdict::kPlaceLocally;
@@ -111,7 +111,7 @@
   }
 };
 
-// kPlacingEnd: reports that the attempt placed under this id has ended or was
+// kPlacementEnd: reports that the attempt placed under this id has ended or was
 // never made. Not acknowledged.
 struct remote_placement_end {
   std::uint64_t id = 0;
--- a/src/libsamphire/traffic/placement_server.cc
+++ b/src/libsamphire/traffic/placement_server.cc
@@ -62,15 +62,15 @@
                                    traffic_context& context)
     : transport_(transport), context_(context) {
   transport_.OnMessage(
-      message_kind::kPlacingAsk,
+      message_kind::kPlacementRequest,
       [this](const peer_message& message) { OnRequest(message); });
-  transport_.OnMessage(message_kind::kPlacingEnd,
+  transport_.OnMessage(message_kind::kPlacementEnd,
                        [this](const peer_message& message) { OnEnd(message); });
 }
 
 placement_server::~placement_server() {
-  transport_.OnMessage(message_kind::kPlacingAsk, nullptr);
-  transport_.OnMessage(message_kind::kPlacingEnd, nullptr);
+  transport_.OnMessage(message_kind::kPlacementRequest, nullptr);
+  transport_.OnMessage(message_kind::kPlacementEnd, nullptr);
 }
 
 void placement_server::OnRequest(const peer_message& message) {
@@ -82,8 +82,8 @@
   auto response =
       MakeResponse(*query, {message.sender, message.incarnation, query->id});
   response.id = query->id;
-  const auto sent = transport_.Send(message.from, message_kind::kPlacingAnswer,
-                                    EncodeBinary(response));
+  const auto sent = transport_.Send(
+      message.from, message_kind::kPlacementResponse, EncodeBinary(response));
   if (!sent)
     context_.counters.CountRetry(sent.error().code);
 }
--- a/src/libsamphire/traffic/team_limiter.cc
+++ b/src/libsamphire/traffic/team_limiter.cc
@@ -50,13 +50,13 @@
       metrics_(counters),
       next_id_(first_id),
       started_(clock.now()) {
-  transport_.OnMessage(message_kind::kPermitAsk,
+  transport_.OnMessage(message_kind::kPermitRequest,
                        [this](const auto& message) { OnRequest(message); });
-  transport_.OnMessage(message_kind::kPermitAnswer,
+  transport_.OnMessage(message_kind::kPermitResponse,
                        [this](const auto& message) { OnResponse(message); });
   transport_.OnMessage(message_kind::kPermitReturn,
                        [this](const auto& message) { OnReturn(message); });
-  transport_.OnMessage(message_kind::kPermitBorrow,
+  transport_.OnMessage(message_kind::kPermitLoanRequest,
                        [this](const auto& message) { OnLoanRequest(message); });
   transport_.OnMessage(message_kind::kPermitLoan,
                        [this](const auto& message) { OnLoan(message); });
@@ -64,8 +64,8 @@
 
 team_limiter::~team_limiter() {
   for (const auto kind :
-       {message_kind::kPermitAsk, message_kind::kPermitAnswer,
-        message_kind::kPermitReturn, message_kind::kPermitBorrow,
+       {message_kind::kPermitRequest, message_kind::kPermitResponse,
+        message_kind::kPermitReturn, message_kind::kPermitLoanRequest,
         message_kind::kPermitLoan})
     transport_.OnMessage(kind, nullptr);
 }
@@ -185,9 +185,9 @@
   if (unresponsive_.IsPaused(address, clock_.now()))
     return std::nullopt;
   const permit_request request{.id = next_id_++, .team = team};
-  pending_.Expect(request.id, team);
-  const auto sent =
-      transport_.Send(address, message_kind::kPermitAsk, EncodeBinary(request));
+  pending_.Register(request.id, team);
+  const auto sent = transport_.Send(address, message_kind::kPermitRequest,
+                                    EncodeBinary(request));
   auto response =
       pending_.Await(request.id, sent ? kResponseTimeout : milliseconds{0});
   if (!response) {
@@ -255,7 +255,8 @@
   for (const auto& [region, contacts] : entries->other_regions) {
     const auto address = LoanRequestAddress(region, contacts, team);
     if (!address.empty())
-      Send(address, message_kind::kPermitBorrow, permit_loan_request{team});
+      Send(address, message_kind::kPermitLoanRequest,
+           permit_loan_request{team});
   }
 }
 
@@ -289,7 +290,7 @@
     response.retry_after_ms =
         static_cast<std::uint32_t>(decision.retry_after.count());
   }
-  Send(message.from, message_kind::kPermitAnswer, response);
+  Send(message.from, message_kind::kPermitResponse, response);
 }
 
 void team_limiter::OnResponse(const peer_message& message) {
--- a/src/libsamphire/traffic/team_limiter.h
+++ b/src/libsamphire/traffic/team_limiter.h
@@ -13,8 +13,8 @@
 #include "base/pause_list.h"
 #include "base/sharded.h"
 #include "metrics/metrics.h"
-#include "peer/answer_waiter.h"
 #include "peer/peer_transport.h"
+#include "peer/response_waiter.h"
 #include "routing/permit_grantors.h"
 #include "routing/startup_allowance.h"
 #include "routing/team_permits.h"
@@ -122,7 +122,7 @@
   metrics& metrics_;
   std::atomic<std::uint64_t> next_id_;
   pause_list unresponsive_;
-  answer_waiter<permit_response, std::string> pending_;
+  response_waiter<permit_response, std::string> pending_;
   sharded<team_map> teams_;
   // When this entry started.
   const time_point started_;
--- a/src/stand_in_store/main.cc
+++ b/src/stand_in_store/main.cc
@@ -13,11 +13,15 @@
 #include "base/system_clock_source.h"
 #include "store/stand_in_server.h"
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "IP:PORT; port 0 takes any");
+ABSL_FLAG(std::string,
+          listen,
+          "127.0.0.1:0",
+          "IP:PORT; port 0 selects a free one");
 
 namespace samphire {
 namespace {
 
+// Exit status when the address cannot be bound.
 constexpr int kExitUsage = 2;
 
 int Run(const std::string& listen) {
--- a/tests/membership/membership_fuzz_test.cc
+++ b/tests/membership/membership_fuzz_test.cc
@@ -45,7 +45,7 @@
     const auto kind = *rc::gen::elementOf(
         std::vector{message_kind::kProbe, message_kind::kProbeAck,
                     message_kind::kProbeRequest, message_kind::kJoin,
-                    message_kind::kSyncAsk, message_kind::kGossip,
+                    message_kind::kSyncRequest, message_kind::kGossip,
                     message_kind::kRegionDigest});
     const auto payload = *rc::gen::arbitrary<bool>() ? Bytes() : DamagedProbe();
     core.Receive(kind, {"peer", 1, "127.0.0.1:1", payload}, now);
--- a/tests/peer/peer_test.cc
+++ b/tests/peer/peer_test.cc
@@ -32,14 +32,14 @@
   envelope.sender = "entry-1";
   envelope.incarnation = incarnation;
   envelope.sequence = sequence;
-  envelope.sent_at =
+  envelope.sent_at_us =
       std::chrono::duration_cast<microseconds>(at.time_since_epoch()).count();
   envelope.payload = "hello";
   return envelope;
 }
 
-// Collects what a transport hands over, and waits for it.
-struct inbox {
+// Collects the messages that a transport delivers, and waits for them.
+struct message_collector {
   void Add(const peer_message& message) {
     std::lock_guard guard(lock);
     messages.push_back(message);
@@ -59,13 +59,13 @@
 
 TEST_CASE("the keyed digest is HMAC-SHA256") {
   // Test case 2 of RFC 4231.
-  const auto digest = KeyedDigest("Jefe", "what do ya want for nothing?");
-  REQUIRE(digest.size() == kDigestSize);
+  const auto digest = HmacSha256("Jefe", "what do ya want for nothing?");
+  REQUIRE(digest.size() == kDigestBytes);
   CHECK(digest.substr(0, 4) == "\x5b\xdc\xc1\x46");
   CHECK(digest.substr(28) == "\x64\xec\x38\x43");
 }
 
-TEST_CASE("a key file needs a sound key and tells what is wrong") {
+TEST_CASE("a key file without a valid key is rejected with its reason") {
   CHECK(peer_keys::Parse("# none\n").error().code == result_code::kFileEmpty);
   CHECK(peer_keys::Parse("short").error().code ==
         result_code::kValueOutOfRange);
@@ -74,36 +74,41 @@
   CHECK(peer_keys::Parse(std::string("# comment\n  ") + kOldKey + " \r\n"));
 }
 
-// The fleet's key is changed one instance after another. At every moment some
-// sign with the old one and some with the new, and no message may be dropped.
-TEST_CASE("old and new key are both accepted during a change of keys") {
-  const auto spread = Keys(std::string(kOldKey) + "\n" + kNewKey);
+// The fleet's key is replaced on one instance after another. In between, some
+// instances sign with the old key and some with the new one, and no message may
+// be dropped.
+TEST_CASE("old and new key are both accepted during key rotation") {
+  const auto distributed = Keys(std::string(kOldKey) + "\n" + kNewKey);
   const auto switched = Keys(std::string(kNewKey) + "\n" + kOldKey);
   const auto envelope = Envelope(1, 1, wall_time{});
-  CHECK(Open(Seal(envelope, "r", spread).value(), "r", switched));
-  CHECK(Open(Seal(envelope, "r", switched).value(), "r", spread));
-  CHECK(Open(Seal(envelope, "r", Keys(kNewKey)).value(), "r", Keys(kOldKey))
+  CHECK(VerifyEnvelope(SignEnvelope(envelope, "r", distributed).value(), "r",
+                       switched));
+  CHECK(VerifyEnvelope(SignEnvelope(envelope, "r", switched).value(), "r",
+                       distributed));
+  CHECK(VerifyEnvelope(SignEnvelope(envelope, "r", Keys(kNewKey)).value(), "r",
+                       Keys(kOldKey))
             .error()
             .code == result_code::kPeerBadDigest);
 }
 
-TEST_CASE("a datagram is for one receiver and fits its bound") {
+TEST_CASE("a datagram is bound to one receiver and limited in size") {
   const auto keys = Keys(kOldKey);
   auto envelope = Envelope(1, 1, wall_time{});
-  const auto datagram = Seal(envelope, "127.0.0.1:1", keys).value();
-  CHECK(Open(datagram, "127.0.0.1:2", keys).error().code ==
+  const auto datagram = SignEnvelope(envelope, "127.0.0.1:1", keys).value();
+  CHECK(VerifyEnvelope(datagram, "127.0.0.1:2", keys).error().code ==
         result_code::kPeerBadDigest);
-  envelope.sender.assign(kMaxSenderName, 's');
-  envelope.payload.assign(kMaxPeerPayload, 'p');
-  CHECK(Seal(envelope, "r", keys).value().size() <= kMaxDatagram);
+  envelope.sender.assign(kMaxSenderNameBytes, 's');
+  envelope.payload.assign(kMaxPeerPayloadBytes, 'p');
+  CHECK(SignEnvelope(envelope, "r", keys).value().size() <= kMaxDatagramBytes);
   envelope.payload += 'p';
-  CHECK(Seal(envelope, "r", keys).error().code == result_code::kPeerMalformed);
+  CHECK(SignEnvelope(envelope, "r", keys).error().code ==
+        result_code::kPeerMalformed);
 }
 
-// Somebody on the network sends a captured datagram again, or a process that
-// was replaced wakes up and speaks on. Either could undo what its instance has
-// said since, so that work is lent or lost twice.
-TEST_CASE("seen, old and outdated messages are refused") {
+// An attacker sends a captured datagram again, or a paused process that was
+// replaced resumes and sends messages. Either could revert state that its
+// instance has announced since, so that work is lent or lost twice.
+TEST_CASE("replayed, old and superseded messages are refused") {
   replay_guard guard;
   const wall_time now{std::chrono::hours(500000)};
   CHECK(guard.Accept(Envelope(5, 1, now), now));
@@ -119,26 +124,26 @@
   CHECK(guard.senders() == 1);
 }
 
-TEST_CASE("datagrams reach their handler, strangers' are counted") {
+TEST_CASE("datagrams reach their handler, unauthenticated ones are counted") {
   system_clock_source clock;
   metrics registry;
-  inbox received;
+  message_collector received;
   udp_peer_transport alice("127.0.0.1:0", "alice", 7, Keys(kOldKey), clock,
                            registry);
   udp_peer_transport bob("127.0.0.1:0", "bob", 1, Keys(kOldKey), clock,
                          registry);
   udp_peer_transport mallory("127.0.0.1:0", "alice", 8, Keys(kNewKey), clock,
                              registry);
-  bob.OnMessage(message_kind::kLoanAsk,
+  bob.OnMessage(message_kind::kLoanRequest,
                 [&](const peer_message& message) { received.Add(message); });
   bob.Start();
-  REQUIRE(mallory.Send(bob.address(), message_kind::kLoanAsk, "forged"));
+  REQUIRE(mallory.Send(bob.address(), message_kind::kLoanRequest, "forged"));
   Poco::Net::DatagramSocket raw(Poco::Net::SocketAddress("127.0.0.1:0"));
   raw.sendTo("x", 1, Poco::Net::SocketAddress(bob.address()));
-  const std::string huge(kMaxDatagram + 500, 'x');
+  const std::string huge(kMaxDatagramBytes + 500, 'x');
   raw.sendTo(huge.data(), static_cast<int>(huge.size()),
              Poco::Net::SocketAddress(bob.address()));
-  REQUIRE(alice.Send(bob.address(), message_kind::kLoanAsk, "real"));
+  REQUIRE(alice.Send(bob.address(), message_kind::kLoanRequest, "real"));
   received.WaitFor(1);
   CHECK(received.messages.front().payload == "real");
   CHECK(received.messages.front().sender == "alice");
@@ -150,7 +155,7 @@
         2);
 }
 
-TEST_CASE("a request passed on is vouched for once, as it is") {
+TEST_CASE("a forwarded request is authenticated once and only unchanged") {
   const wall_time now{std::chrono::hours(500000)};
   const auto keys = Keys(kOldKey);
   const peer_request request{"POST", "/v1/services/s/ack", "127.0.0.1:80",
@@ -158,7 +163,7 @@
   const auto token = SignPeerRequest(request, {"entry-1", 4}, keys, now, 99);
   peer_token_verifier verifier(keys);
   auto changed = request;
-  changed.content = "other";
+  changed.signed_content = "other";
   CHECK(verifier.Verify(changed, token, now).error().code ==
         result_code::kPeerBadDigest);
   CHECK(verifier.Verify(request, token, now + std::chrono::minutes(1))
--- a/tests/platform_adapter/stand_in_platform.cc
+++ b/tests/platform_adapter/stand_in_platform.cc
@@ -166,7 +166,7 @@
 }
 
 stand_in_platform::~stand_in_platform() {
-  objects_.SetWatchesCut(true);
+  objects_.SetWatchesInterrupted(true);
   server_->stopAll(true);
   threads_.joinAll();
 }
--- a/tests/store/configuration_over_http_test.cc
+++ b/tests/store/configuration_over_http_test.cc
@@ -19,31 +19,34 @@
 struct no_peers final : config_peer_source {
   std::vector<std::string> Peers() override { return {}; }
   result<peer_config> QueryConfig(const std::string&) override {
-    return Gone();
+    return UnreachableError();
   }
   result<config_update> Pull(const std::string&, std::uint64_t) override {
-    return Gone();
+    return UnreachableError();
   }
   result<std::vector<std::string>> Chunks(
       const std::string&,
       const std::vector<std::string>&) override {
-    return Gone();
+    return UnreachableError();
   }
   result<std::optional<instance_list>> Instances(const std::string&,
                                                  const std::string&) override {
-    return Gone();
+    return UnreachableError();
+  }
+  static error UnreachableError() {
+    return MakeError(result_code::kPeerUnreachable);
   }
-  static error Gone() { return MakeError(result_code::kPeerUnreachable); }
 };
 
-// A watch that waits long would only have the tests wait for its end.
-follower_limits ShortWaits() {
+// Long waits of watches would only prolong the tests.
+follower_limits ShortWatchLimits() {
   follower_limits limits;
   limits.watch_timeout = 200ms;
   return limits;
 }
 
-// One entry that watches the stand-in platform over HTTP.
+// An entry that watches the stand-in platform over HTTP and publishes
+// configurations.
 struct http_entry {
   explicit http_entry(const std::string& address)
       : store({{address}}, clock, registry),
@@ -52,11 +55,11 @@
                  peers,
                  clock,
                  registry,
-                 ShortWaits(),
+                 ShortWatchLimits(),
                  [this](const auto& image) {
                    std::lock_guard guard(lock);
                    versions.push_back(image->version());
-                   told.notify_all();
+                   version_changed.notify_all();
                  }) {}
   ~http_entry() { follower.Stop(); }
 
@@ -66,8 +69,8 @@
   }
   void WaitFor(std::uint64_t version) {
     std::unique_lock guard(lock);
-    told.wait(guard,
-              [&] { return !versions.empty() && versions.back() == version; });
+    version_changed.wait(
+        guard, [&] { return !versions.empty() && versions.back() == version; });
   }
   result<apply_receipt> Apply(std::uint32_t n, const std::string& id) {
     auto declared = Example("nivel-claro");
@@ -81,14 +84,14 @@
   http_object_store store;
   config_publisher publisher;
   std::mutex lock;
-  std::condition_variable told;
+  std::condition_variable version_changed;
   std::vector<std::uint64_t> versions;
   config_follower follower;
 };
 
-struct http_rig {
-  explicit http_rig(std::size_t kept_events = 1000)
-      : objects(clock, kept_events),
+struct http_fixture {
+  explicit http_fixture(std::size_t max_logged_events = 1000)
+      : objects(clock, max_logged_events),
         server(std::make_unique<stand_in_server>("127.0.0.1:0", objects)),
         address(server->address()) {}
   void SetDown(bool down) {
@@ -106,16 +109,16 @@
 
 }  // namespace
 
-TEST_CASE("over HTTP a change reaches the watchers and survives lost answers") {
-  // The platform's answers are lost while an operator applies a change, and
-  // entries watch meanwhile, one of them late since the platform is slow.
-  http_rig rig;
-  http_entry one(rig.address);
-  http_entry two(rig.address);
+TEST_CASE("over HTTP a change reaches the watchers despite lost responses") {
+  // The platform's responses are lost while an operator applies a change and
+  // entries watch, one of them late because the platform is slow.
+  http_fixture fixture;
+  http_entry one(fixture.address);
+  http_entry two(fixture.address);
   one.Start();
-  rig.server->faults().lose_answers = 2;
+  fixture.server->faults().drop_responses = 2;
   CHECK(one.Apply(1, "id-1").value().version == 1);
-  rig.server->faults().slow_ms = 30;
+  fixture.server->faults().slow_ms = 30;
   two.Start();
   CHECK(two.Apply(2, "id-2").value().version == 2);
   one.WaitFor(2);
@@ -124,49 +127,49 @@
                              "reason=\"store-outcome-unknown\"") > 0);
 }
 
-TEST_CASE("over HTTP a platform that is down at the start is waited for") {
-  // The whole site was switched off; entries come up before the platform does.
-  http_rig rig;
-  http_entry entry(rig.address);
+TEST_CASE("over HTTP an entry waits for a platform that is down at startup") {
+  // After a complete shutdown, entries start before the platform does.
+  http_fixture fixture;
+  http_entry entry(fixture.address);
   REQUIRE(entry.Apply(1, "id-1"));
-  rig.SetDown(true);
-  http_entry late(rig.address);
+  fixture.SetDown(true);
+  http_entry late(fixture.address);
   late.Start();
   while (!late.follower.platform_failing())
     std::this_thread::yield();
   CHECK(late.follower.image() == nullptr);
   CHECK(late.Apply(2, "id-2").error().code == result_code::kStoreUnreachable);
-  rig.SetDown(false);
+  fixture.SetDown(false);
   late.WaitFor(1);
 }
 
-TEST_CASE("over HTTP an entry that comes back serves nothing older") {
-  // An entry is replaced while a change is applied, and the platform's watch
-  // has forgotten what happened in between.
-  http_rig rig(2);
-  http_entry one(rig.address);
+TEST_CASE("over HTTP a restarted entry serves no older configuration") {
+  // An entry is replaced while changes are applied, and the platform's watch
+  // log no longer contains the changes made in between.
+  http_fixture fixture(2);
+  http_entry one(fixture.address);
   one.Start();
   REQUIRE(one.Apply(1, "id-1"));
   one.WaitFor(1);
   one.follower.Stop();
   for (std::uint32_t n = 2; n <= 5; ++n)
     REQUIRE(one.Apply(n, "id-" + std::to_string(n)));
-  http_entry again(rig.address);
+  http_entry again(fixture.address);
   again.Start();
   again.WaitFor(5);
   CHECK(again.versions.front() == 5);
 }
 
-TEST_CASE("over HTTP operators who race are each told the truth") {
-  // Four operators apply different files at the same moment. Each of those who
-  // are told of a version finds their own change under it.
-  http_rig rig;
-  http_entry first(rig.address);
+TEST_CASE("over HTTP concurrent operators each get the correct result") {
+  // Four operators apply different files concurrently. Each one that receives a
+  // version finds its own change under that version.
+  http_fixture fixture;
+  http_entry first(fixture.address);
   REQUIRE(first.Apply(1, "id-0"));
   std::vector<std::unique_ptr<http_entry>> entries;
   entries.reserve(4);
   for (int n = 0; n < 4; ++n)
-    entries.push_back(std::make_unique<http_entry>(rig.address));
+    entries.push_back(std::make_unique<http_entry>(fixture.address));
   std::vector<std::uint64_t> versions(4);
   std::vector<std::thread> operators;
   for (std::size_t n = 0; n < 4; ++n) {
--- a/tests/store/followers_model_test.cc
+++ b/tests/store/followers_model_test.cc
@@ -17,8 +17,8 @@
 
 namespace {
 
-// The platform's store: what was written when, and how much of it a watch can
-// still tell.
+// Model of the platform's store: the objects, and the log of writes from which
+// watches are served until it is compacted.
 class modelled_store {
  public:
   void Write(const std::string& key) {
@@ -34,34 +34,34 @@
   }
   void Compact() {
     if (!log_.empty())
-      floor_ = log_.back().first;
+      compacted_revision_ = log_.back().first;
     log_.clear();
   }
   watch_batch Watch(std::uint64_t cursor) const {
     if (cursor == 0) {
-      watch_batch all{.cursor = revision_, .reset = true, .events = {}};
+      watch_batch listing{.cursor = revision_, .reset = true, .events = {}};
       for (const auto& [key, version] : objects_)
-        all.events.push_back({key, version, std::to_string(version)});
-      return all;
+        listing.events.push_back({key, version, std::to_string(version)});
+      return listing;
     }
-    if (cursor < floor_)
+    if (cursor < compacted_revision_)
       return {.cursor = 0, .reset = true, .events = {}};
-    watch_batch more{.cursor = revision_, .reset = false, .events = {}};
+    watch_batch changes{.cursor = revision_, .reset = false, .events = {}};
     for (const auto& [revision, event] : log_) {
       if (revision > cursor)
-        more.events.push_back(event);
+        changes.events.push_back(event);
     }
-    return more;
+    return changes;
   }
-  // When the object was first gone after `revision`.
-  std::optional<std::uint64_t> GoneAfter(const std::string& key,
-                                         std::uint64_t revision) const {
+  // The revision at which the object was first deleted after `revision`.
+  std::optional<std::uint64_t> DeletedAfter(const std::string& key,
+                                            std::uint64_t revision) const {
     const auto found = deletions_.find(key);
     if (found == deletions_.end())
       return std::nullopt;
-    for (const auto gone : found->second) {
-      if (gone > revision)
-        return gone;
+    for (const auto deleted : found->second) {
+      if (deleted > revision)
+        return deleted;
     }
     return std::nullopt;
   }
@@ -71,25 +71,26 @@
 
  private:
   std::uint64_t revision_ = 1;
-  std::uint64_t floor_ = 0;
+  std::uint64_t compacted_revision_ = 0;
   std::map<std::string, std::uint64_t> objects_;
   std::map<std::string, std::vector<std::uint64_t>> deletions_;
   std::deque<std::pair<std::uint64_t, store_event>> log_;
 };
 
-// One entry: what it knows, what it hands on, and what it may not go back to.
+// Model of one entry: its mirror, its relay, and the states that it must not go
+// back to.
 struct modelled_entry {
   explicit modelled_entry(const clock_source& clock) : relay(clock) {}
 
   object_relay relay;
   object_mirror mirror;
-  // Of each object: the revision up to which its story is known here, and
-  // whether it was there.
-  struct sight {
+  // For each object, the latest revision that this entry has observed and
+  // whether the object existed at it.
+  struct observation {
     std::uint64_t revision = 0;
     bool present = false;
   };
-  std::map<std::string, sight> seen;
+  std::map<std::string, observation> observed;
 };
 
 const std::string kPrefix = "k/";
@@ -106,25 +107,25 @@
 
   void RunFaults(int steps) {
     for (int i = 0; i < steps; ++i) {
-      Strike();
+      InjectFaults();
       Step(random_() % kEntries);
     }
   }
   void Heal() {
-    cut_from_store_.clear();
-    cut_from_peers_.clear();
+    disconnected_from_store_.clear();
+    disconnected_from_peers_.clear();
     for (int round = 0; round < 40; ++round) {
       clock_.Advance(100ms);
       for (std::size_t i = 0; i < kEntries; ++i)
         Step(i);
     }
   }
-  bool AllKnowTheTruth() const {
-    std::map<std::string, std::string> truth;
+  bool AllMirrorsMatchStore() const {
+    std::map<std::string, std::string> expected;
     for (const auto& [key, revision] : store_.objects())
-      truth[key] = std::to_string(revision);
+      expected[key] = std::to_string(revision);
     return std::all_of(entries_.begin(), entries_.end(), [&](const auto& each) {
-      return each->mirror.objects() == truth;
+      return each->mirror.objects() == expected;
     });
   }
 
@@ -136,7 +137,7 @@
     entries_.resize(kEntries);
     entries_[i] = std::make_unique<modelled_entry>(clock_);
   }
-  void Strike() {
+  void InjectFaults() {
     clock_.Advance(milliseconds(random_() % 300));
     if (Chance(50))
       store_.Write(Key());
@@ -147,41 +148,43 @@
     if (Chance(3))
       Restart(random_() % kEntries);
     if (Chance(10))
-      cut_from_store_[random_() % kEntries] = Chance(50);
+      disconnected_from_store_[random_() % kEntries] = Chance(50);
     if (Chance(10))
-      cut_from_peers_[random_() % kEntries] = Chance(50);
+      disconnected_from_peers_[random_() % kEntries] = Chance(50);
     if (Chance(4)) {
       const bool down = Chance(50);
       for (std::size_t i = 0; i < kEntries; ++i)
-        cut_from_store_[i] = down;
+        disconnected_from_store_[i] = down;
     }
   }
 
-  // As an entry asks: the region's watchers, the platform, and with nothing
-  // known yet whoever still has something.
+  // Queries the sources in the order in which an entry does: the region's
+  // watchers, then the platform, and, if nothing is known yet, any peer for its
+  // last known state.
   void Step(std::size_t i) {
     auto& self = *entries_[i];
     const auto cursor = self.mirror.cursor();
-    auto batch = AskWatchers(i, cursor);
+    auto batch = WatchThroughPeers(i, cursor);
     bool confirmed = false;
-    if (!batch && !cut_from_store_[i]) {
+    if (!batch && !disconnected_from_store_[i]) {
       batch = store_.Watch(cursor);
       confirmed = true;
     }
     if (!batch && cursor == 0)
-      batch = AskLastKnown(i);
+      batch = FetchLastKnown(i);
     if (!batch)
       return;
     self.relay.Publish(kPrefix, *batch, confirmed);
     self.mirror.Apply(*batch, clock_.now());
     self.mirror.Expire(clock_.now());
-    Check(self);
+    CheckMonotonic(self);
   }
-  std::optional<watch_batch> AskWatchers(std::size_t i, std::uint64_t cursor) {
-    if (i < kWatchers || cut_from_peers_[i])
+  std::optional<watch_batch> WatchThroughPeers(std::size_t i,
+                                               std::uint64_t cursor) {
+    if (i < kWatchers || disconnected_from_peers_[i])
       return std::nullopt;
     for (std::size_t watcher = 0; watcher < kWatchers; ++watcher) {
-      if (cut_from_peers_[watcher])
+      if (disconnected_from_peers_[watcher])
         continue;
       auto batch = entries_[watcher]->relay.Watch(kPrefix, cursor, 0ms);
       if (batch)
@@ -189,9 +192,10 @@
     }
     return std::nullopt;
   }
-  std::optional<watch_batch> AskLastKnown(std::size_t i) {
+  std::optional<watch_batch> FetchLastKnown(std::size_t i) {
     const auto peer = random_() % kEntries;
-    if (peer == i || cut_from_peers_[i] || cut_from_peers_[peer])
+    if (peer == i || disconnected_from_peers_[i] ||
+        disconnected_from_peers_[peer])
       return std::nullopt;
     auto batch = entries_[peer]->relay.LastKnown(kPrefix);
     if (!batch)
@@ -199,22 +203,23 @@
     return std::move(batch.value());
   }
 
-  // What an entry has seen of an object is never followed by something older.
-  void Check(modelled_entry& self) {
+  // Once an entry has observed a state of an object, it must never observe an
+  // older one.
+  void CheckMonotonic(modelled_entry& self) {
     for (const auto& [key, value] : self.mirror.objects()) {
       const auto revision = std::stoull(value);
-      auto& seen = self.seen[key];
-      INFO(key << " at " << revision << " after " << seen.revision);
-      REQUIRE(revision >= seen.revision);
-      seen = {revision, true};
+      auto& observed = self.observed[key];
+      INFO(key << " at " << revision << " after " << observed.revision);
+      REQUIRE(revision >= observed.revision);
+      observed = {revision, true};
     }
-    for (auto& [key, seen] : self.seen) {
-      if (!seen.present || self.mirror.objects().contains(key))
+    for (auto& [key, observed] : self.observed) {
+      if (!observed.present || self.mirror.objects().contains(key))
         continue;
-      const auto gone = store_.GoneAfter(key, seen.revision);
-      INFO(key << " vanished after " << seen.revision);
-      REQUIRE(gone);
-      seen = {*gone, false};
+      const auto deleted = store_.DeletedAfter(key, observed.revision);
+      INFO(key << " disappeared after " << observed.revision);
+      REQUIRE(deleted);
+      observed = {*deleted, false};
     }
   }
 
@@ -222,23 +227,23 @@
   manual_clock clock_;
   modelled_store store_;
   std::vector<std::unique_ptr<modelled_entry>> entries_;
-  std::map<std::size_t, bool> cut_from_store_;
-  std::map<std::size_t, bool> cut_from_peers_;
+  std::map<std::size_t, bool> disconnected_from_store_;
+  std::map<std::size_t, bool> disconnected_from_peers_;
 };
 
 }  // namespace
 
 // Entries of a region learn of changes from the store, from each other and, in
-// an outage, from whoever knew something last; links break, the store forgets
-// its history, entries restart. An entry that went back to an older state would
-// run requests by a configuration that was replaced, or send work to a target
-// that said it leaves; one that stayed behind would do so for good.
-TEST_CASE("what an entry has seen never goes back, and all learn all in time") {
+// an outage, from any peer's last known state, while links fail, the store
+// loses its history and entries restart. An entry that returned to an older
+// state would process requests by a superseded configuration or send work to a
+// target that is leaving; an entry that stayed behind would do so permanently.
+TEST_CASE("entries never return to an older state and finally converge") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     INFO("seed " << seed);
     modelled_region region(seed);
     region.RunFaults(400);
     region.Heal();
-    REQUIRE(region.AllKnowTheTruth());
+    REQUIRE(region.AllMirrorsMatchStore());
   }
 }
--- a/tests/store/http_object_store_test.cc
+++ b/tests/store/http_object_store_test.cc
@@ -17,10 +17,10 @@
 
 namespace {
 
-// The stand-in platform and a client of it, over loopback.
-struct platform_rig {
-  explicit platform_rig(std::size_t kept_events = 100)
-      : objects(clock, kept_events) {}
+// The stand-in platform and a client of it, connected over loopback.
+struct http_store_fixture {
+  explicit http_store_fixture(std::size_t max_logged_events = 100)
+      : objects(clock, max_logged_events) {}
 
   system_clock_source clock;
   stand_in_objects objects;
@@ -29,19 +29,19 @@
   http_object_store store{{{server.address()}}, clock, registry};
 };
 
-// Accepts one connection, waits for bytes, sends `answer` and closes.
-class raw_peer {
+// Accepts one connection, waits for bytes, sends a fixed response and closes.
+class fixed_response_server {
  public:
-  explicit raw_peer(std::string answer)
-      : thread_([this, answer = std::move(answer)] {
+  explicit fixed_response_server(std::string response_text)
+      : thread_([this, response_text = std::move(response_text)] {
           auto connection = listener_.acceptConnection();
           char buffer[4096];
           connection.receiveBytes(buffer, sizeof buffer);
-          if (!answer.empty())
-            connection.sendBytes(answer.data(),
-                                 static_cast<int>(answer.size()));
+          if (!response_text.empty())
+            connection.sendBytes(response_text.data(),
+                                 static_cast<int>(response_text.size()));
         }) {}
-  ~raw_peer() { thread_.join(); }
+  ~fixed_response_server() { thread_.join(); }
   std::string address() const { return listener_.address().toString(); }
 
  private:
@@ -61,7 +61,7 @@
   return response.getStatus();
 }
 
-std::string ClosedAddress() {
+std::string UnusedAddress() {
   const Poco::Net::ServerSocket socket(Poco::Net::SocketAddress("127.0.0.1:0"));
   return socket.address().toString();
 }
@@ -77,68 +77,69 @@
 
 }  // namespace
 
-TEST_CASE("objects go through HTTP whole, whatever their key and size") {
-  platform_rig rig;
+TEST_CASE("objects of any key and size are transferred unchanged over HTTP") {
+  http_store_fixture fixture;
   const std::string key = "seat/sul poa/7?x=%41&é";
   const std::string value(stand_in_objects::kMaxValueBytes, 'x');
-  const auto version = rig.store.Put(key, value, 0).value();
-  CHECK(rig.store.Get(key).value().version == version);
-  CHECK(rig.store.Get(key).value().value == value);
+  const auto version = fixture.store.Put(key, value, 0).value();
+  CHECK(fixture.store.Get(key).value().version == version);
+  CHECK(fixture.store.Get(key).value().value == value);
   const auto quoted = std::string("{\"a\":\"\\n\n\"}");
-  const auto next = rig.store.Put(key, quoted, version).value();
+  const auto next = fixture.store.Put(key, quoted, version).value();
   CHECK(next > version);
-  const auto listed = rig.store.List("seat/sul ").value();
+  const auto listed = fixture.store.List("seat/sul ").value();
   REQUIRE(listed.size() == 1);
   CHECK(listed[0].key == key);
   CHECK(listed[0].value == quoted);
-  CHECK(rig.store.Put(key, value + "x", next).error().code ==
+  CHECK(fixture.store.Put(key, value + "x", next).error().code ==
         result_code::kStoreValueTooLarge);
-  CHECK(rig.store.Put(key, "y", version).error().code ==
+  CHECK(fixture.store.Put(key, "y", version).error().code ==
         result_code::kStoreConflict);
-  CHECK(rig.store.Delete(key, version).error().code ==
+  CHECK(fixture.store.Delete(key, version).error().code ==
         result_code::kStoreConflict);
-  CHECK(rig.store.Delete(key, next));
-  CHECK(rig.store.Get(key).error().code == result_code::kStoreNotFound);
-  CHECK(rig.registry.counter("store_calls_total", "kind=\"put\"") == 4);
-  CHECK(rig.registry.counter("store_errors_total",
-                             "reason=\"store-conflict\"") == 2);
+  CHECK(fixture.store.Delete(key, next));
+  CHECK(fixture.store.Get(key).error().code == result_code::kStoreNotFound);
+  CHECK(fixture.registry.counter("store_calls_total", "kind=\"put\"") == 4);
+  CHECK(fixture.registry.counter("store_errors_total",
+                                 "reason=\"store-conflict\"") == 2);
 }
 
-TEST_CASE("instances are told over HTTP as they were set") {
-  platform_rig rig;
-  rig.objects.SetInstance({"e1", "entry", "127.0.0.1:1", "kandy", "kandy-a",
-                           instance_state::kLeaving});
-  const auto list = rig.store.Instances().value();
+TEST_CASE("the instance list is transferred unchanged over HTTP") {
+  http_store_fixture fixture;
+  fixture.objects.SetInstance({"e1", "entry", "127.0.0.1:1", "kandy", "kandy-a",
+                               instance_state::kLeaving});
+  const auto list = fixture.store.Instances().value();
   REQUIRE(list.size() == 1);
   CHECK(list[0].name == "e1");
   CHECK(list[0].failure_domain == "kandy-a");
   CHECK(list[0].state == instance_state::kLeaving);
 }
 
-TEST_CASE("a write whose answer is lost is of unknown outcome") {
-  // The platform stores the value and the connection breaks before its answer
-  // arrives, or it breaks before the platform saw the request. The two look
-  // alike; a user whose acknowledgement was taken for "not run" would see it
-  // run a second time.
-  platform_rig rig;
+TEST_CASE("a write whose response is lost has an unknown outcome") {
+  // The connection breaks after the platform stored the value and before its
+  // response arrives, or before the platform received the request. The two are
+  // indistinguishable; if the acknowledgement of a user were taken for "not
+  // executed", it would be executed a second time.
+  http_store_fixture fixture;
   const bool took_effect = GENERATE(true, false);
-  (took_effect ? rig.server.faults().lose_answers
-               : rig.server.faults().lose_requests) = 1;
-  CHECK(rig.store.Put("a", "1", 0).error().code ==
+  (took_effect ? fixture.server.faults().drop_responses
+               : fixture.server.faults().drop_requests) = 1;
+  CHECK(fixture.store.Put("a", "1", 0).error().code ==
         result_code::kStoreOutcomeUnknown);
-  CHECK(rig.store.Get("a").has_value() == took_effect);
+  CHECK(fixture.store.Get("a").has_value() == took_effect);
 }
 
-TEST_CASE("an answer that is cut short or late leaves a write unknown") {
-  // The platform's process dies while it answers, or hangs. A part of an
-  // answer taken for a whole one would make a lost write look done.
-  const auto answer = GENERATE(
+TEST_CASE("a truncated or late response leaves a write's outcome unknown") {
+  // The platform's process crashes or hangs while it responds. If a partial
+  // response were taken for a complete one, a lost write would be reported as
+  // done.
+  const auto response_text = GENERATE(
       as<std::string>(), "",
       "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"ver",
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
       "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", "nonsense");
-  const raw_peer peer(answer);
-  // The second address must not be tried: it might run the write again.
+  const fixed_response_server peer(response_text);
+  // The second address must not be tried: the write might be executed again.
   const system_clock_source clock;
   stand_in_objects objects(clock);
   const stand_in_server second("127.0.0.1:0", objects);
@@ -147,20 +148,20 @@
   CHECK(objects.List("").value().empty());
 }
 
-TEST_CASE("a platform that can't be reached surely did not write") {
-  // One of the platform's addresses is dead. Callers of a fleet that gave up
-  // there would be refused although another address answers.
-  CHECK(PutTo({ClosedAddress()}) == result_code::kStoreUnreachable);
-  platform_rig rig;
-  CHECK(PutTo({ClosedAddress(), rig.server.address()}) == result_code::kOk);
-  rig.server.faults().down = true;
-  CHECK(PutTo({rig.server.address()}) == result_code::kStoreUnreachable);
+TEST_CASE("a write to an unreachable platform is known to have had no effect") {
+  // One of the platform's addresses is unreachable. If a client failed there,
+  // callers would be refused although another address responds.
+  CHECK(PutTo({UnusedAddress()}) == result_code::kStoreUnreachable);
+  http_store_fixture fixture;
+  CHECK(PutTo({UnusedAddress(), fixture.server.address()}) == result_code::kOk);
+  fixture.server.faults().down = true;
+  CHECK(PutTo({fixture.server.address()}) == result_code::kStoreUnreachable);
 }
 
-TEST_CASE("a connection that the platform closed while idle is not used") {
+TEST_CASE("a connection that the platform closed while idle is not reused") {
   // The platform restarts or closes idle connections. A write sent on such a
-  // connection would be of unknown outcome for nothing: an operator would see
-  // doubtful ledger entries after every quiet night.
+  // connection would needlessly have an unknown outcome: an operator would see
+  // unresolved ledger entries after every quiet night.
   const system_clock_source clock;
   stand_in_objects objects(clock);
   metrics registry;
@@ -174,41 +175,44 @@
   CHECK(store.Put("b", "1", 0));
 }
 
-TEST_CASE("a watch tells of writes and of an outage that cuts it") {
-  // The platform goes down while entries wait on it. An entry that went on
-  // waiting would not notice and would show an old configuration as confirmed.
-  platform_rig rig;
-  const auto cursor = rig.store.Watch("config/", 0, 0ms).value().cursor;
+TEST_CASE("a watch returns writes and fails when an outage interrupts it") {
+  // The platform goes down while entries wait in a watch. An entry that kept
+  // waiting would not notice and would report an old configuration as
+  // confirmed.
+  http_store_fixture fixture;
+  const auto cursor = fixture.store.Watch("config/", 0, 0ms).value().cursor;
   result<watch_batch> got = MakeError(result_code::kUsage);
-  std::thread waiting([&] { got = rig.store.Watch("config/", cursor, 60s); });
-  REQUIRE(rig.store.Put("seat/1", "x", 0));
-  REQUIRE(rig.store.Put("config/root", "x", 0));
+  std::thread waiting(
+      [&] { got = fixture.store.Watch("config/", cursor, 60s); });
+  REQUIRE(fixture.store.Put("seat/1", "x", 0));
+  REQUIRE(fixture.store.Put("config/root", "x", 0));
   waiting.join();
   REQUIRE(got);
   REQUIRE(got.value().events.size() == 1);
   CHECK(got.value().events[0].key == "config/root");
-  std::thread cut(
-      [&] { got = rig.store.Watch("config/", got.value().cursor, 60s); });
-  while (rig.server.faults().calls[4] < 3)
+  std::thread interrupted(
+      [&] { got = fixture.store.Watch("config/", got.value().cursor, 60s); });
+  while (fixture.server.faults().calls[4] < 3)
     std::this_thread::yield();
-  CHECK(Post(rig.server.address(), "/v1/faults", R"({"down":true})") == 200);
-  cut.join();
+  CHECK(Post(fixture.server.address(), "/v1/faults", R"({"down":true})") ==
+        200);
+  interrupted.join();
   REQUIRE_FALSE(got);
   CHECK(got.error().code == result_code::kStoreUnreachable);
 }
 
-TEST_CASE("a watch that lags too far, or outlived the platform, is reset") {
-  // A paused entry comes back after more writes than the platform remembers,
-  // or the platform lost its log. An entry that was told "no events" would
+TEST_CASE("a watch from a cursor outside the platform's log is reset") {
+  // A paused entry resumes after more writes than the platform logs, or the
+  // platform has lost its log. An entry that received an empty batch would
   // never learn of the changes in between.
-  platform_rig rig(3);
-  const auto cursor = rig.store.Watch("", 0, 0ms).value().cursor;
+  http_store_fixture fixture(3);
+  const auto cursor = fixture.store.Watch("", 0, 0ms).value().cursor;
   for (const auto* key : {"a", "b", "c"})
-    REQUIRE(rig.store.Put(key, "x", 0));
-  CHECK(rig.store.Watch("", cursor, 60s).value().events.size() == 3);
-  REQUIRE(rig.store.Put("d", "x", 0));
-  CHECK(rig.store.Watch("", cursor, 60s).value().reset);
-  CHECK(rig.store.Watch("", cursor + 1000, 60s).value().reset);
+    REQUIRE(fixture.store.Put(key, "x", 0));
+  CHECK(fixture.store.Watch("", cursor, 60s).value().events.size() == 3);
+  REQUIRE(fixture.store.Put("d", "x", 0));
+  CHECK(fixture.store.Watch("", cursor, 60s).value().reset);
+  CHECK(fixture.store.Watch("", cursor + 1000, 60s).value().reset);
 }
 
 TEST_CASE("the instance list shows a change only after its lag") {
--- a/tests/store/object_mirror_test.cc
+++ b/tests/store/object_mirror_test.cc
@@ -18,23 +18,23 @@
 
 }  // namespace
 
-TEST_CASE("one object that is gone goes at once") {
+TEST_CASE("a single deleted object is removed at once") {
   object_mirror mirror;
   CHECK(mirror.Apply(Listing(20, 5), kStart));
   CHECK(mirror.Apply({.cursor = 6, .events = {{"t/3", 0, {}}}}, kStart));
   CHECK(mirror.objects().size() == 19);
 }
 
-// The platform comes back from an outage in which nobody could renew an entry,
-// and lists almost none. Without the doubt every caller is refused for two
-// seconds for want of targets that are all alive.
+// The platform recovers from an outage in which no owner could renew its
+// object, and lists almost none. Without the delay, every caller would be
+// refused for two seconds for lack of targets that are all running.
 TEST_CASE(
-    "objects that vanish together are held until they had time to return") {
+    "objects that disappear in bulk are kept until they could be renewed") {
   object_mirror mirror;
   mirror.Apply(Listing(20, 5), kStart);
   CHECK_FALSE(mirror.Apply(Listing(2, 9), kStart));
   CHECK(mirror.objects().size() == 20);
-  // Ten come back.
+  // Ten of the objects are renewed.
   mirror.Apply({.cursor = 10, .events = Listing(10, 0).events},
                kStart + milliseconds(1500));
   CHECK_FALSE(mirror.Expire(kStart + milliseconds(2000)));
@@ -42,26 +42,28 @@
   CHECK(mirror.objects().size() == 10);
 }
 
-// An entry that was cut off reads the list anew: a few targets left meanwhile.
-// Held in doubt, they would be sent work seconds after they said they leave.
-TEST_CASE("a few that are missing from a new listing are gone at once") {
+// A disconnected entry lists everything again; a few targets left in the
+// meantime. If they were kept, they would be assigned work seconds after they
+// announced that they are leaving.
+TEST_CASE("a few objects missing from a new listing are removed at once") {
   object_mirror mirror;
   mirror.Apply(Listing(20, 5), kStart);
   CHECK(mirror.Apply(Listing(15, 9), kStart));
   CHECK(mirror.objects().size() == 15);
 }
 
-TEST_CASE("lost history empties nothing") {
+TEST_CASE("a source that lost its history does not empty the mirror") {
   object_mirror mirror;
   mirror.Apply(Listing(20, 5), kStart);
   CHECK_FALSE(mirror.Apply({.cursor = 0, .reset = true}, kStart));
   CHECK(mirror.objects().size() == 20);
 }
 
-// The watch goes on after an outage in which entries lapsed and came back; one
-// batch tells both. Taken as gone, a third of the targets stayed unused for
-// good, and callers waited for the rest.
-TEST_CASE("an object that went and came back within one batch is there") {
+// A watch continues after an outage in which objects expired and were renewed;
+// one batch contains both events. If the objects were taken for deleted, a
+// third of the targets would stay unused permanently while callers wait for the
+// others.
+TEST_CASE("an object deleted and re-created within one batch exists") {
   object_mirror mirror;
   mirror.Apply(Listing(20, 5), kStart);
   watch_batch batch{.cursor = 90, .reset = false, .events = {}};
--- a/tests/store/object_relay_test.cc
+++ b/tests/store/object_relay_test.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("a peer gets everything first, then only what changed") {
+TEST_CASE("a peer gets a full listing first, then only changes") {
   manual_clock clock;
   object_relay relay(clock);
   relay.Publish("k/", Batch(5, true, {{"k/a", 3, "A"}, {"k/b", 4, "B"}}));
@@ -34,9 +34,10 @@
   CHECK(relay.Watch("k/", 0, 0ms).value().events.size() == 2);
 }
 
-// The watcher loses the platform. Peers that went on trusting its copy would
-// send work to targets that left, and miss a new configuration for good.
-TEST_CASE("a copy that is not confirmed is not handed on") {
+// The watcher loses its connection to the platform. Peers that continued to
+// trust its copy would send work to targets that have left, and miss a new
+// configuration permanently.
+TEST_CASE("a copy that is not confirmed recently is not served") {
   manual_clock clock;
   object_relay relay(clock);
   CHECK_FALSE(relay.Watch("k/", 0, 0ms));
@@ -49,9 +50,10 @@
   CHECK(relay.Watch("k/", 5, 0ms));
 }
 
-// An entry starts while the platform is away. What its peer knew last is old,
-// but the peer itself goes by it; with nothing, every caller is refused.
-TEST_CASE("the last known state is told to one that knows nothing") {
+// An entry starts while the platform is unreachable. The last state known to
+// its peer is old, but the peer itself uses it; without it the entry would
+// refuse every caller.
+TEST_CASE("the last known state is served to a peer that knows nothing") {
   manual_clock clock;
   object_relay relay(clock);
   CHECK_FALSE(relay.LastKnown("k/"));
@@ -63,7 +65,7 @@
   CHECK(known.value().cursor == 5);
 }
 
-TEST_CASE("what a peer told is not handed on as confirmed") {
+TEST_CASE("state received from a peer is not served as confirmed") {
   manual_clock clock;
   object_relay relay(clock);
   relay.Publish("k/", Batch(5, true, {}), false);
@@ -71,9 +73,9 @@
   CHECK(relay.LastKnown("k/"));
 }
 
-// A peer followed the platform itself and is ahead of the watcher it turns to.
-// Taken back, it would apply an older state as if it were news.
-TEST_CASE("a peer that is ahead is not taken back") {
+// A peer that followed the platform itself is ahead of the watcher it switches
+// to. If its cursor went back, it would apply an older state as an update.
+TEST_CASE("the cursor of a peer that is ahead does not go back") {
   manual_clock clock;
   object_relay relay(clock);
   relay.Publish("k/", Batch(5, true, {{"k/a", 3, "A"}}));
@@ -83,10 +85,10 @@
   CHECK(batch.value().events.empty());
 }
 
-// The store forgot its history, and the watcher listed everything anew. Told as
-// a whole, the listing would go to every follower at once and fill the
-// watcher's link, while changes wait behind it.
-TEST_CASE("of a new listing a peer gets what changed while history was gone") {
+// The store has lost its history, and the watcher has listed everything again.
+// If the whole listing were forwarded, it would go to every follower at once
+// and saturate the watcher's link, while changes wait behind it.
+TEST_CASE("after lost history a peer gets only the differences of a listing") {
   manual_clock clock;
   object_relay relay(clock);
   relay.Publish("k/", Batch(5, true, {{"k/a", 3, "A"}, {"k/c", 4, "C"}}));
@@ -102,9 +104,10 @@
   CHECK(batch.value().events[1].version == 0);
 }
 
-// A peer was away since before the watcher's first listing. Told only what the
-// watcher saw change, it would keep objects that went before.
-TEST_CASE("a peer that is behind all that the relay can tell gets everything") {
+// A peer was disconnected since before the watcher's first listing. If it
+// received only the changes that the watcher observed, it would keep objects
+// that were deleted earlier.
+TEST_CASE("a peer whose cursor precedes the relay's log gets a full listing") {
   manual_clock clock;
   object_relay relay(clock);
   relay.Publish("k/", Batch(5, true, {{"k/a", 3, "A"}}));
@@ -116,10 +119,10 @@
   CHECK(batch.value().events[0].key == "k/b");
 }
 
-// Both watchers of a region are cut off from the store, and their followers
-// turn to a deputy that has just noticed the same. Answered at once, each of
-// them would ask the store by itself.
-TEST_CASE("a follower waits for a deputy to get a fresh copy") {
+// Both watchers of a region lose the store, and their followers switch to a
+// backup watcher that has just detected the same failure. If it responded at
+// once, each follower would call the store by itself.
+TEST_CASE("a follower waits for a backup watcher to get a fresh copy") {
   manual_clock clock;
   object_relay relay(clock);
   CHECK_FALSE(relay.Watch("k/", 5, 0ms, true));
--- a/tests/support/fake_peer_transport.cc
+++ b/tests/support/fake_peer_transport.cc
@@ -26,7 +26,7 @@
 result<void> fake_peer_transport::Send(const std::string& address,
                                        message_kind kind,
                                        const std::string& payload) {
-  if (payload.size() > kMaxPeerPayload)
+  if (payload.size() > kMaxPeerPayloadBytes)
     return MakeError(result_code::kPeerMalformed, "message over its bound");
   network_.Post(address_,
                 {address, kind, {sender_, incarnation_, address_, payload}});
--- a/tests/traffic/placement_test.cc
+++ b/tests/traffic/placement_test.cc
@@ -140,8 +140,8 @@
   CHECK_FALSE(fixture.RequestPlacement());
   fixture.requester.hold_messages = false;
   fixture.requester.DeliverHeld();
-  CHECK(fixture.requester.sent ==
-        std::vector{message_kind::kPlacingAsk, message_kind::kPlacingEnd});
+  CHECK(fixture.requester.sent == std::vector{message_kind::kPlacementRequest,
+                                              message_kind::kPlacementEnd});
   fixture.clock.Advance(1s);
   CHECK(fixture.RequireResponse().load_before == 0);
 }
@@ -175,7 +175,7 @@
 TEST_CASE("a message that can't be decoded is counted and dropped") {
   placement_fixture fixture;
   const auto sent =
-      fixture.requester.Send(kOwner, message_kind::kPlacingAsk, "x");
+      fixture.requester.Send(kOwner, message_kind::kPlacementRequest, "x");
   REQUIRE(sent);
   CHECK(fixture.owner.sent.empty());
   CHECK(fixture.counters.Render().find("placing_malformed_total 1") !=
--- a/tests/traffic/team_limiter_test.cc
+++ b/tests/traffic/team_limiter_test.cc
@@ -156,8 +156,8 @@
 TEST_CASE("permit messages that can't be decoded are counted and dropped") {
   limiter_fixture fixture;
   for (const auto kind :
-       {message_kind::kPermitAsk, message_kind::kPermitAnswer,
-        message_kind::kPermitReturn, message_kind::kPermitBorrow,
+       {message_kind::kPermitRequest, message_kind::kPermitResponse,
+        message_kind::kPermitReturn, message_kind::kPermitLoanRequest,
         message_kind::kPermitLoan})
     REQUIRE(fixture.other->transport.Send("", kind, "x"));
   CHECK(fixture.owner->counters.Render().find("permits_malformed_total 5") !=
