--- a/src/libsamphire/front/front_connection.cc
+++ b/src/libsamphire/front/front_connection.cc
@@ -12,21 +12,24 @@
 #include <vector>
 
 #include "base/log.h"
-#include "front/answer_writer.h"
 #include "front/front_request.h"
-#include "front/head_wait.h"
-#include "front/turn_away.h"
+#include "front/refuse_connection.h"
+#include "front/request_head_wait.h"
+#include "front/response_writer.h"
 
 namespace samphire {
 
 namespace {
 
-class active_mark {
+// Counts a request as active for as long as the guard exists.
+class active_request_guard {
  public:
-  explicit active_mark(std::atomic<int>& count) : count_(count) { ++count_; }
-  ~active_mark() { --count_; }
-  active_mark(const active_mark&) = delete;
-  active_mark& operator=(const active_mark&) = delete;
+  explicit active_request_guard(std::atomic<int>& count) : count_(count) {
+    ++count_;
+  }
+  ~active_request_guard() { --count_; }
+  active_request_guard(const active_request_guard&) = delete;
+  active_request_guard& operator=(const active_request_guard&) = delete;
 
  private:
   std::atomic<int>& count_;
@@ -38,17 +41,18 @@
     const Poco::Net::StreamSocket& socket,
     Poco::Net::HTTPServerParams::Ptr params,
     Poco::Net::HTTPRequestHandlerFactory::Ptr factory,
-    front_control& control,
+    front_shared_state& shared_state,
     samphire::metrics& counters)
     : TCPServerConnection(socket),
       params_(std::move(params)),
       factory_(std::move(factory)),
-      control_(control),
+      shared_state_(shared_state),
       metrics_(counters) {}
 
-// POCO's own connection answers what it can't parse with a bare 400 and knows
-// no limit for a whole head; this loop is the same but for numbered answers
-// and the wait for a whole head.
+// POCO's own connection class responds to bytes that it can't parse with a bare
+// 400 and has no time limit for a complete head. This loop differs from it only
+// in that its refusals carry result codes and that it waits for the complete
+// head first.
 void front_connection::run() {
   socket().setNoDelay(true);
   front_session session(socket(), params_);
@@ -56,7 +60,7 @@
     while (ServeOne(session)) {
     }
   } catch (const Poco::Exception& e) {
-    // Mostly a caller that went away; what else it was, the detail tells.
+    // Usually the caller disconnected; the logged detail shows other causes.
     metrics_.Count("connections_lost_total");
     Log(log_level::kInfo, "connection-lost", {{"detail", e.displayText()}});
   }
@@ -64,20 +68,20 @@
 
 bool front_connection::ServeOne(front_session& session) {
   if (!session.HasBuffered()) {
-    const auto waited = AwaitHead(session.socket(), control_);
-    if (waited == result_code::kCallerGone)
+    const auto wait_result = AwaitRequestHead(session.socket(), shared_state_);
+    if (wait_result == result_code::kCallerGone)
       return false;
-    if (waited != result_code::kOk) {
-      Refuse(session, waited);
+    if (wait_result != result_code::kOk) {
+      Refuse(session, wait_result);
       return false;
     }
   }
   try {
-    const auto end = Handle(session);
-    // Only now that the answer has left its buffers.
-    if (end == request_end::kUnread)
+    const auto outcome = Handle(session);
+    // Handle() has returned, so the response has been flushed to the socket.
+    if (outcome == connection_disposition::kUnreadBody)
       DrainAndShutDown(session.socket());
-    return end == request_end::kKeep;
+    return outcome == connection_disposition::kKeepOpen;
   } catch (const Poco::Net::NoMessageException&) {
     return false;
   } catch (const Poco::Net::MessageException&) {
@@ -89,34 +93,38 @@
   }
 }
 
-// A request counts as active before the phase is looked at, and the phase is
-// set before the count is: so one of the two sees the other, and no request
-// runs on after its port has counted none.
-front_connection::request_end front_connection::Handle(front_session& session) {
-  const active_mark mark(control_.active);
-  if (control_.phase == front_phase::kTurningAway) {
+// A request is counted as active before the phase is read here, while the
+// thread that drains the port sets the phase before it reads the count. So at
+// least one side sees the other's write, and no request still runs once the
+// port has reported zero active requests.
+front_connection::connection_disposition front_connection::Handle(
+    front_session& session) {
+  const active_request_guard guard(shared_state_.active_requests);
+  if (shared_state_.phase == front_phase::kRefusing) {
     Refuse(session, result_code::kEntryLeaving);
-    return request_end::kClose;
+    return connection_disposition::kClose;
   }
   Poco::Net::HTTPServerResponseImpl response(session);
   front_request request(response, session, params_.get());
   response.setDate(Poco::Timestamp());
   response.setVersion(request.getVersion());
   response.setKeepAlive(request.getKeepAlive() &&
-                        control_.phase == front_phase::kOpen);
+                        shared_state_.phase == front_phase::kOpen);
   std::unique_ptr<Poco::Net::HTTPRequestHandler> handler(
       factory_->createRequestHandler(request));
   handler->handleRequest(request, response);
-  if (!request.IsConsumed())
-    return request_end::kUnread;
-  return response.sent() && response.getKeepAlive() ? request_end::kKeep
-                                                    : request_end::kClose;
+  if (!request.IsFullyRead())
+    return connection_disposition::kUnreadBody;
+  return response.sent() && response.getKeepAlive()
+             ? connection_disposition::kKeepOpen
+             : connection_disposition::kClose;
 }
 
 void front_connection::Refuse(front_session& session, result_code code) {
   metrics_.CountRefusal(code);
-  const auto answer = RenderRefusal(answer_note{.code = code});
-  session.socket().sendBytes(answer.data(), static_cast<int>(answer.size()));
+  const auto response_bytes = RenderRefusal(response_status{.code = code});
+  session.socket().sendBytes(response_bytes.data(),
+                             static_cast<int>(response_bytes.size()));
   DrainAndShutDown(session.socket());
 }
 
--- a/src/libsamphire/front/front_connection.h
+++ b/src/libsamphire/front/front_connection.h
@@ -6,37 +6,44 @@
 #include <Poco/Net/TCPServerConnection.h>
 
 #include "base/result_code.h"
-#include "front/front_control.h"
 #include "front/front_session.h"
+#include "front/front_shared_state.h"
 #include "metrics/metrics.h"
 
 namespace samphire {
 
-// Serves the requests of one connection, one after the other. Whatever can't
-// be understood gets a numbered answer before the connection is closed.
+// Serves the requests of one connection one after the other, in one thread of
+// the server's thread pool. Input that can't be parsed as HTTP is refused with
+// a result code before the connection is closed.
 class front_connection final : public Poco::Net::TCPServerConnection {
  public:
   front_connection(const Poco::Net::StreamSocket& socket,
                    Poco::Net::HTTPServerParams::Ptr params,
                    Poco::Net::HTTPRequestHandlerFactory::Ptr factory,
-                   front_control& control,
+                   front_shared_state& shared_state,
                    samphire::metrics& counters);
 
+  // Returns when the connection is to be closed. Connection errors are logged
+  // and counted, not thrown.
   void run() override;
 
  private:
-  // What becomes of the connection after a request. kUnread: part of the body
-  // is still to come, and would be taken for the next request.
-  enum class request_end { kKeep, kClose, kUnread };
+  // What to do with the connection after a request. kUnreadBody: close it after
+  // discarding input, because part of the request body has not been read and
+  // would be parsed as the next request.
+  enum class connection_disposition { kKeepOpen, kClose, kUnreadBody };
 
-  // False when the connection is to be closed.
+  // Waits for one request and handles it. Returns false when the connection is
+  // to be closed.
   bool ServeOne(front_session& session);
-  request_end Handle(front_session& session);
+  // Parses one request and runs its handler, or refuses it in kRefusing.
+  connection_disposition Handle(front_session& session);
+  // Sends a refusal and shuts the connection down.
   void Refuse(front_session& session, result_code code);
 
   Poco::Net::HTTPServerParams::Ptr params_;
   Poco::Net::HTTPRequestHandlerFactory::Ptr factory_;
-  front_control& control_;
+  front_shared_state& shared_state_;
   samphire::metrics& metrics_;
 };
 
--- a/src/libsamphire/front/front_limits.h
+++ b/src/libsamphire/front/front_limits.h
@@ -7,12 +7,16 @@
 
 namespace samphire {
 
-// What one connection may cost before its request is understood.
+// Limits on the resources that callers can use before a request has been
+// parsed, for one port.
 struct front_limits {
+  // Connections open at a time; each occupies one thread.
   std::uint32_t max_connections = 400;
+  // Size of one request head: request line and headers.
   std::uint32_t max_header_bytes = 16384;
-  // From a request's first byte to the end of its head.
+  // Time from the first byte of a request to the end of its head.
   milliseconds header_timeout{5000};
+  // Time that a connection may stay open without a request.
   milliseconds idle_timeout{30'000};
 };
 
--- a/src/libsamphire/front/front_phase.h
+++ b/src/libsamphire/front/front_phase.h
@@ -3,13 +3,15 @@
 
 namespace samphire {
 
-// How far a port is on its way to being closed.
+// Phases of a port on its way to being closed, in this order.
 enum class front_phase {
+  // Serves requests and keeps connections alive.
   kOpen,
-  // Serves on, but keeps no connection, so that callers come to use others.
-  kLeaving,
-  // Requests that come now are refused; those that run go on.
-  kTurningAway,
+  // Serves requests, but closes each connection after its response, so that
+  // callers reconnect to other entries.
+  kNoKeepAlive,
+  // Refuses new requests; requests that are already active run to completion.
+  kRefusing,
 };
 
 }  // namespace samphire
--- a/src/libsamphire/front/front_request.cc
+++ b/src/libsamphire/front/front_request.cc
@@ -9,17 +9,20 @@
 
 namespace {
 
-constexpr std::size_t kPieceBytes = 4096;
+// Bytes read at a time when a whole body is collected.
+constexpr std::size_t kReadBufferBytes = 4096;
 
-// Both lengths at once, or a coding that is not understood, is how one request
-// is smuggled in as the tail of another, and how its sender gets the other
-// caller's answer.
-result<body_framing> RequestFraming(const Poco::Net::HTTPRequest& request) {
+// Guards against request smuggling. With both Content-Length and
+// Transfer-Encoding, or an unknown coding, one request could be hidden at the
+// end of another, and its sender could receive another caller's response.
+result<body_framing> ParseRequestFraming(
+    const Poco::Net::HTTPRequest& request) {
   const bool has_coding =
       request.has(Poco::Net::HTTPMessage::TRANSFER_ENCODING);
   const bool has_length = request.has(Poco::Net::HTTPMessage::CONTENT_LENGTH);
   if (has_coding && (has_length || !request.getChunkedTransferEncoding()))
-    return MakeError(result_code::kMalformedRequest, "unclear body length");
+    return MakeError(result_code::kMalformedRequest,
+                     "conflicting body length headers or unsupported coding");
   if (has_coding)
     return body_framing(chunked_body{});
   if (!has_length)
@@ -33,7 +36,8 @@
   if (values != 1 ||
       !Poco::NumberParser::tryParseUnsigned64(
           request.get(Poco::Net::HTTPMessage::CONTENT_LENGTH), length))
-    return MakeError(result_code::kMalformedRequest, "nonsense length");
+    return MakeError(result_code::kMalformedRequest,
+                     "invalid or repeated Content-Length");
   return body_framing(fixed_length_body{length});
 }
 
@@ -46,7 +50,7 @@
 
 result<request_body*> front_request::OpenBody(std::uint64_t limit,
                                               time_point deadline) {
-  BOOST_OUTCOME_TRY(framing, RequestFraming(*this));
+  BOOST_OUTCOME_TRY(framing, ParseRequestFraming(*this));
   body_.emplace(session_, framing, limit, deadline);
   return &*body_;
 }
@@ -55,18 +59,19 @@
                                             time_point deadline) {
   BOOST_OUTCOME_TRY(source, OpenBody(limit, deadline));
   std::string body;
-  std::array<char, kPieceBytes> piece;
+  std::array<char, kReadBufferBytes> buffer;
   while (!source->ended()) {
-    BOOST_OUTCOME_TRY(got, source->Read(piece));
-    body.append(piece.data(), got);
+    BOOST_OUTCOME_TRY(bytes_read, source->Read(buffer));
+    body.append(buffer.data(), bytes_read);
   }
   return body;
 }
 
-// Unread body bytes would be parsed as the start of the next request.
-bool front_request::IsConsumed() const {
+// Unread body bytes would be parsed as the start of the next request. Where the
+// body was never opened, the headers must declare that there is none.
+bool front_request::IsFullyRead() const {
   if (body_)
-    return body_->ended_cleanly();
+    return body_->ended_without_excess();
   return !has(Poco::Net::HTTPMessage::TRANSFER_ENCODING) &&
          get(Poco::Net::HTTPMessage::CONTENT_LENGTH, "0") == "0";
 }
--- a/src/libsamphire/front/front_request.h
+++ b/src/libsamphire/front/front_request.h
@@ -14,24 +14,28 @@
 
 namespace samphire {
 
-// A request whose body's end is known for certain.
+// A request whose body is read with reliable detection of its end: a body that
+// breaks off is an error, never a shorter body. Used only by the thread of its
+// connection.
 class front_request final : public Poco::Net::HTTPServerRequestImpl {
  public:
   front_request(Poco::Net::HTTPServerResponseImpl& response,
                 front_session& session,
                 Poco::Net::HTTPServerParams* params);
 
-  // The body, to be read as it comes; lives as long as the request. At most
-  // `limit` bytes, all of them before `deadline`. kMalformedRequest where its
-  // length is unclear. Unless it is read to its end, the connection can't
+  // Returns the body for reading as it arrives; it is valid for as long as the
+  // request. Allows at most `limit` bytes, all of which must arrive before
+  // `deadline`. Fails with kMalformedRequest if the length headers are invalid
+  // or contradictory. Unless the body is read to its end, the connection can't
   // serve another request.
   result<request_body*> OpenBody(std::uint64_t limit, time_point deadline);
-  // The whole body at once.
+  // Reads the whole body. Fails with kMalformedRequest, kBodyTooLarge or
+  // kRequestTooSlow.
   result<std::string> ReadBody(std::uint64_t limit, time_point deadline);
 
-  // Whether the request was read to its end, so that the connection can serve
-  // another one.
-  bool IsConsumed() const;
+  // Returns whether the request was read to its end and nothing beyond it, so
+  // that the connection can serve another one.
+  bool IsFullyRead() const;
 
  private:
   front_session& session_;
--- a/src/libsamphire/front/front_server.cc
+++ b/src/libsamphire/front/front_server.cc
@@ -9,49 +9,58 @@
 #include <utility>
 
 #include "base/log.h"
-#include "front/connection_limit.h"
+#include "front/connection_limiter.h"
 #include "front/front_connection.h"
-#include "front/turn_away.h"
+#include "front/refuse_connection.h"
 
 namespace samphire {
 
 namespace {
 
+// Threads beyond the connection limit.
 constexpr int kSpareThreads = 4;
-constexpr milliseconds kLateRetryAfter{100};
-constexpr int kBacklog = 512;
+// Retry time for connections that are refused while the port closes.
+constexpr milliseconds kClosingRetryAfter{100};
+// Bounds the connections that wait in the kernel's accept queue, and separately
+// those that wait in the server's own queue for a thread.
+constexpr int kListenBacklog = 512;
+// Idle threads end after this time.
 constexpr int kThreadIdleSeconds = 30;
-// Threads mostly wait; half a megabyte holds the deepest call with room.
+// Stack size of a connection's thread. The threads mostly wait; half a megabyte
+// holds the deepest call chain with a margin.
 constexpr int kStackBytes = 512 * 1024;
 
+// Creates a front_connection for each accepted socket.
 class connection_factory final : public Poco::Net::TCPServerConnectionFactory {
  public:
   connection_factory(Poco::Net::HTTPRequestHandlerFactory::Ptr handlers,
-                     front_control& control,
+                     front_shared_state& shared_state,
                      samphire::metrics& counters)
       : params_(new Poco::Net::HTTPServerParams),
         handlers_(std::move(handlers)),
-        control_(control),
+        shared_state_(shared_state),
         metrics_(counters) {
     params_->setKeepAlive(true);
     params_->setMaxKeepAliveRequests(0);
-    params_->setTimeout(Poco::Timespan(
-        std::chrono::duration_cast<microseconds>(control.header_timeout.load())
-            .count()));
-    params_->setKeepAliveTimeout(Poco::Timespan(
-        std::chrono::duration_cast<microseconds>(control.idle_timeout.load())
-            .count()));
+    params_->setTimeout(Poco::Timespan(std::chrono::duration_cast<microseconds>(
+                                           shared_state.header_timeout.load())
+                                           .count()));
+    params_->setKeepAliveTimeout(
+        Poco::Timespan(std::chrono::duration_cast<microseconds>(
+                           shared_state.idle_timeout.load())
+                           .count()));
   }
 
   Poco::Net::TCPServerConnection* createConnection(
       const Poco::Net::StreamSocket& socket) override {
-    return new front_connection(socket, params_, handlers_, control_, metrics_);
+    return new front_connection(socket, params_, handlers_, shared_state_,
+                                metrics_);
   }
 
  private:
   Poco::Net::HTTPServerParams::Ptr params_;
   Poco::Net::HTTPRequestHandlerFactory::Ptr handlers_;
-  front_control& control_;
+  front_shared_state& shared_state_;
   samphire::metrics& metrics_;
 };
 
@@ -61,22 +70,22 @@
                            Poco::Net::HTTPRequestHandlerFactory::Ptr factory,
                            const front_limits& limits,
                            samphire::metrics& counters)
-    : control_(limits),
+    : shared_state_(limits),
       threads_(2,
                static_cast<int>(limits.max_connections) + kSpareThreads,
                kThreadIdleSeconds,
                kStackBytes) {
   socket_.bind(Poco::Net::SocketAddress(address), true, false);
-  socket_.listen(kBacklog);
+  socket_.listen(kListenBacklog);
   Poco::Net::TCPServerParams::Ptr params = new Poco::Net::TCPServerParams;
   params->setMaxThreads(static_cast<int>(limits.max_connections) +
                         kSpareThreads);
-  params->setMaxQueued(kBacklog);
+  params->setMaxQueued(kListenBacklog);
   server_ = std::make_unique<Poco::Net::TCPServer>(
-      new connection_factory(std::move(factory), control_, counters), threads_,
-      socket_, params);
-  Poco::AutoPtr<connection_limit> limit(
-      new connection_limit(limits.max_connections, counters));
+      new connection_factory(std::move(factory), shared_state_, counters),
+      threads_, socket_, params);
+  Poco::AutoPtr<connection_limiter> limit(
+      new connection_limiter(limits.max_connections, counters));
   limit->set_server(server_.get());
   server_->setConnectionFilter(limit);
 }
@@ -91,30 +100,31 @@
 }
 
 void front_server::SetPhase(front_phase phase) {
-  control_.phase = phase;
-  if (phase == front_phase::kTurningAway)
-    control_.turning_away.close(Poco::Pipe::CLOSE_WRITE);
+  shared_state_.phase = phase;
+  if (phase == front_phase::kRefusing)
+    shared_state_.refusing_pipe.close(Poco::Pipe::CLOSE_WRITE);
 }
 
 void front_server::SetTimeouts(milliseconds header, milliseconds idle) {
-  control_.header_timeout = header;
-  control_.idle_timeout = idle;
+  shared_state_.header_timeout = header;
+  shared_state_.idle_timeout = idle;
 }
 
-int front_server::active() const {
-  return control_.active;
+int front_server::active_requests() const {
+  return shared_state_.active_requests;
 }
 
-// Connections that the machine took but nobody accepted are reset when the
-// port closes. Their callers have sent a request and can't know whether it
-// ran; so they are taken in and told that it did not.
+// Connections that the kernel has completed but the server has not accepted are
+// reset when the socket closes. Their callers may have sent a request and could
+// not tell whether it ran. So these connections are accepted and refused, which
+// states that the request did not run.
 void front_server::Close() {
-  SetPhase(front_phase::kTurningAway);
+  SetPhase(front_phase::kRefusing);
   server_->stop();
   try {
     while (socket_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
-      auto late = socket_.acceptConnection();
-      TurnAway(late, result_code::kEntryLeaving, kLateRetryAfter);
+      auto pending = socket_.acceptConnection();
+      RefuseConnection(pending, result_code::kEntryLeaving, kClosingRetryAfter);
     }
     socket_.close();
   } catch (const Poco::Exception& e) {
--- a/src/libsamphire/front/front_session.h
+++ b/src/libsamphire/front/front_session.h
@@ -6,14 +6,18 @@
 
 namespace samphire {
 
-// A server session whose raw bytes can be read, for bodies whose end must be
-// known for certain.
+// Server session that exposes its raw bytes, for reading request bodies with
+// reliable detection of their end.
 class front_session final : public Poco::Net::HTTPServerSession {
  public:
   front_session(const Poco::Net::StreamSocket& socket,
                 Poco::Net::HTTPServerParams::Ptr params);
 
+  // Reads up to `length` bytes, buffered ones first. Returns 0 when the caller
+  // has closed its side; throws Poco::Exception on a connection error.
   int ReadRaw(char* buffer, std::streamsize length);
+  // Returns whether bytes were received that have not been read yet, such as a
+  // pipelined request.
   bool HasBuffered() const;
 };
 
--- a/src/libsamphire/front/header_names.h
+++ b/src/libsamphire/front/header_names.h
@@ -5,17 +5,21 @@
 
 namespace samphire {
 
-// The headers of the callers' interface and of passed requests.
+// Names of the HTTP headers between callers and entries, and on requests that
+// one entry forwards to another.
+
 inline const std::string kHeaderDeadline = "Samphirewinch-Deadline-Ms";
 inline const std::string kHeaderIdempotencyKey = "Idempotency-Key";
 inline const std::string kHeaderResult = "Samphirewinch-Result";
+// Whether the request ran at a target.
 inline const std::string kHeaderRun = "Samphirewinch-Run";
+// Version of the configuration under which the request was handled.
 inline const std::string kHeaderConfig = "Samphirewinch-Config";
 inline const std::string kHeaderRetryAfter = "Retry-After";
-// The same as Retry-After, for callers that can wait less than a second.
+// Retry time in milliseconds, for callers that can wait less than a second.
 inline const std::string kHeaderRetryAfterMs = "Samphirewinch-Retry-After-Ms";
 inline const std::string kHeaderRequestId = "Request-Id";
-// Set on a request that one entry passes to another.
+// Set on a request that one entry forwards to another.
 inline const std::string kHeaderHomeRegion = "Samphirewinch-Home-Region";
 
 }  // namespace samphire
--- a/src/libsamphire/front/request_body.cc
+++ b/src/libsamphire/front/request_body.cc
@@ -4,7 +4,8 @@
 
 namespace {
 
-std::optional<std::uint64_t> LengthOf(const body_framing& framing) {
+// Returns the body's length in bytes if the head declares it.
+std::optional<std::uint64_t> DeclaredLength(const body_framing& framing) {
   if (const auto* fixed = std::get_if<fixed_length_body>(&framing))
     return fixed->length;
   if (std::holds_alternative<no_body>(framing))
@@ -21,30 +22,31 @@
     : buffer_(session, deadline),
       input_(&buffer_),
       reader_(input_, framing),
-      length_(LengthOf(framing)),
+      length_(DeclaredLength(framing)),
       limit_(limit),
       ended_(length_ == 0),
-      ended_cleanly_(ended_) {}
+      ended_without_excess_(ended_) {}
 
 result<std::size_t> request_body::Read(std::span<char> buffer) {
   if (ended_)
     return std::size_t{0};
   if (length_ && *length_ > limit_)
     return MakeError(result_code::kBodyTooLarge);
-  const auto got = reader_.Read(buffer);
-  if (!got) {
-    return MakeError(buffer_.late() ? result_code::kRequestTooSlow
-                                    : result_code::kMalformedRequest,
-                     "the body is not whole");
+  const auto read_result = reader_.Read(buffer);
+  if (!read_result) {
+    return MakeError(buffer_.deadline_exceeded()
+                         ? result_code::kRequestTooSlow
+                         : result_code::kMalformedRequest,
+                     "request body incomplete");
   }
-  taken_ += got.value();
-  if (taken_ > limit_)
+  bytes_read_ += read_result.value();
+  if (bytes_read_ > limit_)
     return MakeError(result_code::kBodyTooLarge);
-  ended_ = got.value() == 0 || taken_ == length_;
-  // Bytes that were read beyond the body are a next request, which would be
-  // lost: such a connection ends here.
-  ended_cleanly_ = ended_ && buffer_.in_avail() <= 0;
-  return got.value();
+  ended_ = read_result.value() == 0 || bytes_read_ == length_;
+  // Bytes read beyond the body belong to a pipelined request, which would be
+  // lost in this buffer, so the connection must not be kept alive.
+  ended_without_excess_ = ended_ && buffer_.in_avail() <= 0;
+  return read_result.value();
 }
 
 }  // namespace samphire
--- a/src/libsamphire/front/request_body.h
+++ b/src/libsamphire/front/request_body.h
@@ -14,25 +14,29 @@
 
 namespace samphire {
 
-// A request's body, read as the caller sends it.
+// Body of a request, read as it arrives from the caller. Used only by the
+// thread of its connection.
 class request_body final : public body_source {
  public:
-  // At most `limit` bytes, all of them before `deadline`.
+  // Allows at most `limit` bytes, all of which must arrive before `deadline`.
   request_body(front_session& session,
                const body_framing& framing,
                std::uint64_t limit,
                time_point deadline);
 
-  // Fails with kMalformedRequest, kBodyTooLarge or kRequestTooSlow.
+  // Fails with kBodyTooLarge over the limit, kRequestTooSlow after the
+  // deadline, and kMalformedRequest if the body breaks off or its framing is
+  // invalid.
   result<std::size_t> Read(std::span<char> buffer) override;
 
   void set_deadline(time_point deadline) { buffer_.set_deadline(deadline); }
-  // Where the caller told it before the first byte.
+  // Length in bytes, if the request head declares it.
   std::optional<std::uint64_t> length() const { return length_; }
-  // Read to its end.
+  // Whether the body was read to its end.
   bool ended() const { return ended_; }
-  // Read to its end, and no byte beyond it was taken from the connection.
-  bool ended_cleanly() const { return ended_cleanly_; }
+  // Whether the body was read to its end and no byte beyond it was read from
+  // the connection.
+  bool ended_without_excess() const { return ended_without_excess_; }
 
  private:
   session_input_buf buffer_;
@@ -40,9 +44,9 @@
   body_reader reader_;
   std::optional<std::uint64_t> length_;
   const std::uint64_t limit_;
-  std::uint64_t taken_ = 0;
+  std::uint64_t bytes_read_ = 0;
   bool ended_ = false;
-  bool ended_cleanly_ = false;
+  bool ended_without_excess_ = false;
 };
 
 }  // namespace samphire
--- /dev/null
+++ b/src/libsamphire/front/request_head_wait.cc
@@ -0,0 +1,104 @@
+#include "front/request_head_wait.h"
+
+#include <Poco/Exception.h>
+#include <Poco/Timespan.h>
+#include <poll.h>
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <array>
+#include <string_view>
+#include <thread>
+#include <vector>
+
+#include "base/clock_source.h"
+
+namespace samphire {
+
+namespace {
+
+// Interval between looks at an incomplete head. The bytes stay in the socket,
+// which therefore remains readable, so polling it would return immediately and
+// the loop would spin.
+constexpr milliseconds kPeekInterval{2};
+
+bool ContainsCompleteHead(std::string_view bytes) {
+  return bytes.find("\r\n\r\n") != std::string_view::npos ||
+         bytes.find("\n\n") != std::string_view::npos;
+}
+
+// Checks for METHOD SP TARGET SP HTTP/1.x. Without this check, the parser would
+// wait for more bytes until the time limit, and a malformed request would be
+// reported as a slow one.
+bool HasRequestLine(std::string_view head) {
+  const auto line = head.substr(0, head.find('\n'));
+  const auto first = line.find(' ');
+  const auto last = line.rfind(" HTTP/1.");
+  return first != std::string_view::npos && first > 0 &&
+         last != std::string_view::npos && last > first + 1;
+}
+
+// Waits for the caller and for the port's refusing pipe in one poll(). Checking
+// the phase periodically instead would wake each of hundreds of idle
+// connections many times a second. Returns false on idle timeout and when the
+// port starts refusing.
+bool AwaitFirstByte(Poco::Net::StreamSocket& socket,
+                    const front_shared_state& shared_state) {
+  const auto deadline =
+      std::chrono::steady_clock::now() + shared_state.idle_timeout.load();
+  while (true) {
+    const auto time_left = std::chrono::ceil<milliseconds>(
+        deadline - std::chrono::steady_clock::now());
+    if (time_left.count() <= 0)
+      return false;
+    std::array<pollfd, 2> entries{{
+        {socket.impl()->sockfd(), POLLIN, 0},
+        {shared_state.refusing_pipe.readHandle(), POLLIN, 0},
+    }};
+    if (poll(entries.data(), entries.size(),
+             static_cast<int>(time_left.count())) <= 0)
+      continue;
+    if (entries[0].revents != 0)
+      return true;
+    if (entries[1].revents != 0)
+      return false;
+  }
+}
+
+}  // namespace
+
+// Each connection occupies a thread. A caller that sends its head one byte at a
+// time (a Slowloris attack) could hold the thread indefinitely, since each byte
+// restarts the socket's own timeout; some hundred such connections would block
+// all other callers. So the time and size limits apply to the head as a whole.
+result_code AwaitRequestHead(Poco::Net::StreamSocket& socket,
+                             const front_shared_state& shared_state) {
+  std::vector<char> buffer(shared_state.max_header_bytes + 1);
+  try {
+    if (!AwaitFirstByte(socket, shared_state))
+      return result_code::kCallerGone;
+    const auto deadline =
+        std::chrono::steady_clock::now() + shared_state.header_timeout.load();
+    while (true) {
+      const int received = socket.receiveBytes(
+          buffer.data(), static_cast<int>(buffer.size()), MSG_PEEK);
+      if (received <= 0)
+        return result_code::kCallerGone;
+      const auto count = static_cast<std::size_t>(received);
+      if (ContainsCompleteHead({buffer.data(), count})) {
+        return HasRequestLine({buffer.data(), count})
+                   ? result_code::kOk
+                   : result_code::kMalformedRequest;
+      }
+      if (count > shared_state.max_header_bytes)
+        return result_code::kHeaderTooLarge;
+      if (std::chrono::steady_clock::now() >= deadline)
+        return result_code::kRequestTooSlow;
+      std::this_thread::sleep_for(kPeekInterval);
+    }
+  } catch (const Poco::Exception&) {
+    return result_code::kCallerGone;
+  }
+}
+
+}  // namespace samphire
--- a/src/libsamphire/front/session_input_buf.cc
+++ b/src/libsamphire/front/session_input_buf.cc
@@ -17,20 +17,20 @@
       session_(session),
       deadline_(deadline) {}
 
-// The limit is for the body as a whole: a caller that sends a byte now and
-// then would renew a limit for each read for ever.
+// One deadline covers the whole body. A caller that sends single bytes with
+// pauses could otherwise restart a per-read timeout indefinitely.
 int session_input_buf::readFromDevice(char* buffer, std::streamsize length) {
-  const auto left = std::chrono::duration_cast<microseconds>(
+  const auto time_left = std::chrono::duration_cast<microseconds>(
       deadline_ - std::chrono::steady_clock::now());
-  if (left.count() <= 0) {
-    late_ = true;
+  if (time_left.count() <= 0) {
+    deadline_exceeded_ = true;
     return -1;
   }
   try {
     if (!session_.HasBuffered() &&
-        !session_.socket().poll(Poco::Timespan(left.count()),
+        !session_.socket().poll(Poco::Timespan(time_left.count()),
                                 Poco::Net::Socket::SELECT_READ)) {
-      late_ = true;
+      deadline_exceeded_ = true;
       return -1;
     }
     return session_.ReadRaw(buffer, length);
--- a/src/libsamphire/front/session_input_buf.h
+++ b/src/libsamphire/front/session_input_buf.h
@@ -8,20 +8,23 @@
 
 namespace samphire {
 
-// Reads the raw bytes of a session until a deadline.
+// Input stream buffer over the raw bytes of a session, with a deadline for the
+// whole input. Connection errors and the deadline both appear as the end of the
+// stream. Not thread-safe.
 class session_input_buf final : public Poco::BufferedStreamBuf {
  public:
   session_input_buf(front_session& session, time_point deadline);
 
   void set_deadline(time_point deadline) { deadline_ = deadline; }
-  bool late() const { return late_; }
+  // Whether the stream ended because the deadline passed.
+  bool deadline_exceeded() const { return deadline_exceeded_; }
 
  private:
   int readFromDevice(char* buffer, std::streamsize length) override;
 
   front_session& session_;
   time_point deadline_;
-  bool late_ = false;
+  bool deadline_exceeded_ = false;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/answer_relay.cc
+++ b/src/libsamphire/gateway/answer_relay.cc
@@ -46,7 +46,7 @@
 answer_relay::answer_relay(connection_pool& pool,
                            const caller_watch& caller,
                            answer_sink& sink,
-                           answer_note note)
+                           response_status note)
     : pool_(pool), caller_(caller), sink_(sink), note_(std::move(note)) {}
 
 // A target that crashes or restarts leaves its idle connections behind broken,
@@ -121,7 +121,7 @@
 
 void SendHeld(answer_sink& sink,
               const held_answer& answer,
-              const answer_note& note) {
+              const response_status& note) {
   const bool empty = answer.body.empty() &&
                      !answer.head.has(Poco::Net::HTTPMessage::CONTENT_LENGTH) &&
                      !answer.head.getChunkedTransferEncoding();
--- a/src/libsamphire/gateway/answer_relay.h
+++ b/src/libsamphire/gateway/answer_relay.h
@@ -21,7 +21,7 @@
   answer_relay(connection_pool& pool,
                const caller_watch& caller,
                answer_sink& sink,
-               answer_note note);
+               response_status note);
 
   relay_end Run(const outgoing_request& request);
 
@@ -37,13 +37,13 @@
   connection_pool& pool_;
   const caller_watch& caller_;
   answer_sink& sink_;
-  answer_note note_;
+  response_status note_;
 };
 
 // Sends a held answer.
 void SendHeld(answer_sink& sink,
               const held_answer& answer,
-              const answer_note& note);
+              const response_status& note);
 
 }  // namespace samphire
 
--- a/src/libsamphire/gateway/answer_sink.h
+++ b/src/libsamphire/gateway/answer_sink.h
@@ -5,7 +5,7 @@
 
 #include <string_view>
 
-#include "front/answer_note.h"
+#include "front/response_status.h"
 #include "proxy/body_framing.h"
 
 namespace samphire {
@@ -19,14 +19,14 @@
   // `head` is the target's; hop-by-hop headers are left out.
   virtual void Begin(const Poco::Net::HTTPResponse& head,
                      const body_framing& framing,
-                     const answer_note& note) = 0;
+                     const response_status& note) = 0;
   // False when the caller no longer takes it.
   virtual bool Write(std::string_view bytes) = 0;
   virtual void End() = 0;
   // Makes sure that what was written can't be taken for a whole answer.
   virtual void Abort() = 0;
   // An answer of the entry's own.
-  virtual void Refuse(const answer_note& note) = 0;
+  virtual void Refuse(const response_status& note) = 0;
   virtual bool begun() const = 0;
 };
 
--- a/src/libsamphire/gateway/answer_stream.cc
+++ b/src/libsamphire/gateway/answer_stream.cc
@@ -14,7 +14,7 @@
 answer_stream_end StreamAnswer(http_exchange& exchange,
                                const Poco::Net::HTTPResponse& head,
                                std::string_view first,
-                               const answer_note& note,
+                               const response_status& note,
                                answer_sink& sink) {
   answer_stream_end end;
   sink.Begin(head, exchange.framing(), note);
--- a/src/libsamphire/gateway/answer_stream.h
+++ b/src/libsamphire/gateway/answer_stream.h
@@ -7,7 +7,7 @@
 
 #include "base/clock_source.h"
 #include "base/result_code.h"
-#include "front/answer_note.h"
+#include "front/response_status.h"
 #include "gateway/answer_sink.h"
 #include "proxy/http_exchange.h"
 
@@ -26,7 +26,7 @@
 answer_stream_end StreamAnswer(http_exchange& exchange,
                                const Poco::Net::HTTPResponse& head,
                                std::string_view first,
-                               const answer_note& note,
+                               const response_status& note,
                                answer_sink& sink);
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/caller_answer.cc
+++ b/src/libsamphire/gateway/caller_answer.cc
@@ -3,7 +3,7 @@
 #include <Poco/Exception.h>
 #include <Poco/Net/HTTPServerRequestImpl.h>
 
-#include "front/answer_writer.h"
+#include "front/response_writer.h"
 #include "gateway/header_copy.h"
 
 namespace samphire {
@@ -38,14 +38,14 @@
 // own age. The entry's own headers are added beside them.
 void caller_answer::Begin(const Poco::Net::HTTPResponse& head,
                           const body_framing& framing,
-                          const answer_note& note) {
+                          const response_status& note) {
   const bool keep_alive = response_.getKeepAlive();
   response_.setStatusAndReason(head.getStatus(), head.getReason());
   CopyEndToEndHeaders(head, response_);
   response_.setKeepAlive(keep_alive);
   std::visit(framing_setter{response_}, framing);
   if (notes_ == note_headers::kAlways)
-    SetNoteHeaders(response_, note);
+    SetStatusHeaders(response_, note);
   stream_ = &response_.send();
 }
 
@@ -72,7 +72,7 @@
   }
 }
 
-void caller_answer::Refuse(const answer_note& note) {
+void caller_answer::Refuse(const response_status& note) {
   refused_ = true;
   WriteRefusal(response_, note);
 }
--- a/src/libsamphire/gateway/caller_answer.h
+++ b/src/libsamphire/gateway/caller_answer.h
@@ -23,11 +23,11 @@
 
   void Begin(const Poco::Net::HTTPResponse& head,
              const body_framing& framing,
-             const answer_note& note) override;
+             const response_status& note) override;
   bool Write(std::string_view bytes) override;
   void End() override;
   void Abort() override;
-  void Refuse(const answer_note& note) override;
+  void Refuse(const response_status& note) override;
   bool begun() const override { return stream_ != nullptr || refused_; }
 
   Poco::Net::StreamSocket socket() const { return socket_; }
--- a/src/libsamphire/gateway/entry_node.cc
+++ b/src/libsamphire/gateway/entry_node.cc
@@ -197,13 +197,13 @@
   const auto started = clock_.now();
   state_.leaving = true;
   membership_.AnnounceLeaving();
-  SetPhase(front_phase::kLeaving);
+  SetPhase(front_phase::kNoKeepAlive);
   const auto present = state_.deployments.Get();
   std::this_thread::sleep_for(
       present ? kRumourTime + present->declared().limits.lookup_ttl
               : milliseconds{0});
-  SetPhase(front_phase::kTurningAway);
-  while (caller_front_.active() + peer_front_.active() > 0)
+  SetPhase(front_phase::kRefusing);
+  while (caller_front_.active_requests() + peer_front_.active_requests() > 0)
     std::this_thread::sleep_for(kDrainCheck);
   HandOver();
   caller_front_.Close();
--- a/src/libsamphire/gateway/local_server.cc
+++ b/src/libsamphire/gateway/local_server.cc
@@ -129,7 +129,7 @@
   return answered{};
 }
 
-std::optional<answer_note> local_server::CheckQuarantine(progress& state) {
+std::optional<response_status> local_server::CheckQuarantine(progress& state) {
   switch (quarantine_.Judge(state.request.fingerprint)) {
     case quarantine_decision::kUnrestricted:
       return std::nullopt;
@@ -204,7 +204,7 @@
                      std::string(NameOf(kAttemptOutcomeNames, end.outcome)) +
                      "\"");
   if (end.outcome != attempt_outcome::kOk) {
-    pool_.Forget(grant.address);
+    pool_.CloseIdle(grant.address);
     Log(log_level::kInfo, "attempt-failed",
         {{"request", request.id},
          {"service", request.service->name},
@@ -283,13 +283,13 @@
   return unanswered{note};
 }
 
-answer_note local_server::Note(const progress& state,
-                               result_code code,
-                               run_state run) const {
-  return answer_note{.code = code,
-                     .run = run,
-                     .config_version = state.request.deployment->version(),
-                     .retry_after = kDefaultRetryAfter};
+response_status local_server::Note(const progress& state,
+                                   result_code code,
+                                   run_state run) const {
+  return response_status{.code = code,
+                         .run = run,
+                         .config_version = state.request.deployment->version(),
+                         .retry_after = kDefaultRetryAfter};
 }
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/local_server.h
+++ b/src/libsamphire/gateway/local_server.h
@@ -53,7 +53,7 @@
 
   // A note if the request ends here without a slot.
   std::optional<serve_end> Reserve(progress& state);
-  std::optional<answer_note> CheckQuarantine(progress& state);
+  std::optional<response_status> CheckQuarantine(progress& state);
   void AvoidLostTargets(progress& state);
   serve_end Attempt(progress& state);
   relay_end RunOn(progress& state, const slot_grant& grant);
@@ -68,9 +68,9 @@
                    run_state run,
                    milliseconds retry_after);
   serve_end Replay(progress& state, const replay& found);
-  answer_note Note(const progress& state,
-                   result_code code,
-                   run_state run) const;
+  response_status Note(const progress& state,
+                       result_code code,
+                       run_state run) const;
 
   gate_set& gates_;
   ledger& ledger_;
--- a/src/libsamphire/gateway/lookup_handler.cc
+++ b/src/libsamphire/gateway/lookup_handler.cc
@@ -5,7 +5,7 @@
 #include <Poco/Net/HTTPServerResponse.h>
 #include <Poco/URI.h>
 
-#include "front/answer_writer.h"
+#include "front/response_writer.h"
 #include "steering/lookup_composer.h"
 
 namespace samphire {
@@ -44,14 +44,15 @@
   const auto answer = Answer(request);
   if (!answer) {
     metrics_.CountRefusal(answer.error().code);
-    WriteRefusal(response, answer_note{.code = answer.error().code,
-                                       .retry_after = kRetryAfter,
-                                       .detail = answer.error().detail});
+    WriteRefusal(response, response_status{.code = answer.error().code,
+                                           .retry_after = kRetryAfter,
+                                           .detail = answer.error().detail});
     return;
   }
   metrics_.Count("lookups_total");
   const auto present = state_.deployments.Get();
-  SetNoteHeaders(response, answer_note{.config_version = present->version()});
+  SetStatusHeaders(response,
+                   response_status{.config_version = present->version()});
   response.set("Cache-Control", "no-store");
   WriteBody(response, "application/json", answer.value());
 }
--- a/src/libsamphire/gateway/note_reader.cc
+++ b/src/libsamphire/gateway/note_reader.cc
@@ -6,7 +6,7 @@
 
 namespace samphire {
 
-std::optional<answer_note> ReadNote(const Poco::Net::HTTPResponse& head) {
+std::optional<response_status> ReadNote(const Poco::Net::HTTPResponse& head) {
   const auto result_text = head.get(kHeaderResult, "");
   int number = 0;
   Poco::UInt64 version = 0;
@@ -21,13 +21,13 @@
   Poco::NumberParser::tryParseUnsigned64(head.get(kHeaderConfig, "0"), version);
   Poco::NumberParser::tryParseUnsigned64(head.get(kHeaderRetryAfterMs, "0"),
                                          retry_after);
-  return answer_note{.code = *code,
-                     .run = *run,
-                     .config_version = version,
-                     .retry_after = milliseconds(retry_after)};
+  return response_status{.code = *code,
+                         .run = *run,
+                         .config_version = version,
+                         .retry_after = milliseconds(retry_after)};
 }
 
-bool IsAnswer(const answer_note& note) {
+bool IsAnswer(const response_status& note) {
   return note.code == result_code::kOk || note.code == result_code::kReplayed ||
          note.code == result_code::kAnswerTooLargeToRecord;
 }
--- a/src/libsamphire/gateway/note_reader.h
+++ b/src/libsamphire/gateway/note_reader.h
@@ -5,15 +5,15 @@
 
 #include <optional>
 
-#include "front/answer_note.h"
+#include "front/response_status.h"
 
 namespace samphire {
 
 // What another entry said on its answer; nothing if it was no entry's.
-std::optional<answer_note> ReadNote(const Poco::Net::HTTPResponse& head);
+std::optional<response_status> ReadNote(const Poco::Net::HTTPResponse& head);
 
 // Whether the note goes with the answer of a run rather than with a refusal.
-bool IsAnswer(const answer_note& note);
+bool IsAnswer(const response_status& note);
 
 }  // namespace samphire
 
--- a/src/libsamphire/gateway/peer_call_handler.cc
+++ b/src/libsamphire/gateway/peer_call_handler.cc
@@ -2,7 +2,7 @@
 
 #include <chrono>
 
-#include "front/answer_writer.h"
+#include "front/response_writer.h"
 #include "gateway/peer_read.h"
 
 namespace samphire {
@@ -42,7 +42,7 @@
   const auto answer = Answer(static_cast<front_request&>(request));
   if (!answer) {
     context_.counters.CountRefusal(answer.error().code);
-    WriteRefusal(response, answer_note{.code = answer.error().code});
+    WriteRefusal(response, response_status{.code = answer.error().code});
     return;
   }
   context_.counters.Count("peer_call_bytes_total", "",
--- a/src/libsamphire/gateway/peer_server.cc
+++ b/src/libsamphire/gateway/peer_server.cc
@@ -16,18 +16,18 @@
 
 constexpr milliseconds kRetryAfter{1000};
 
-answer_note Lost(const caller_request& request,
-                 result_code code,
-                 run_state run) {
-  return answer_note{.code = code,
-                     .run = run,
-                     .config_version = request.deployment->version(),
-                     .retry_after = kRetryAfter};
+response_status Lost(const caller_request& request,
+                     result_code code,
+                     run_state run) {
+  return response_status{.code = code,
+                         .run = run,
+                         .config_version = request.deployment->version(),
+                         .retry_after = kRetryAfter};
 }
 
 // An entry that passed a request on and hears nothing can't know whether it
 // ran; only a connection that never stood proves that it did not.
-answer_note NoteOf(const caller_request& request, attempt_outcome outcome) {
+response_status NoteOf(const caller_request& request, attempt_outcome outcome) {
   if (outcome == attempt_outcome::kConnectFailed)
     return Lost(request, result_code::kNoPeerInRegion, run_state::kNotRun);
   if (outcome == attempt_outcome::kCancelled)
@@ -56,7 +56,7 @@
                              const std::string& region,
                              const caller_watch& caller,
                              answer_sink& sink) {
-  answer_note last =
+  response_status last =
       Lost(request, result_code::kNoPeerInRegion, run_state::kNotRun);
   const auto peers = peers_.EntriesIn(region);
   for (std::size_t i = 0; i < peers.size() && i < kMaxPeers; ++i) {
@@ -77,7 +77,7 @@
 }
 
 bool peer_server::MayTryNext(const caller_request& request,
-                             const answer_note& note) {
+                             const response_status& note) {
   const auto now = clock_.now();
   const auto& service = request.service->name;
   const bool safe =
@@ -96,13 +96,13 @@
   metrics_.Count("passed_total");
   answer_relay relay(
       pool_, caller, sink,
-      answer_note{.run = run_state::kRan,
-                  .config_version = request.deployment->version()});
+      response_status{.run = run_state::kRan,
+                      .config_version = request.deployment->version()});
   const auto end = relay.Run(MakePassed(request, peer));
   if (end.relayed)
     return answered{};
   if (!end.answer) {
-    pool_.Forget(peer.peer_address);
+    pool_.CloseIdle(peer.peer_address);
     return unanswered{NoteOf(request, end.outcome)};
   }
   const auto note = ReadNote(end.answer->head);
--- a/src/libsamphire/gateway/peer_server.h
+++ b/src/libsamphire/gateway/peer_server.h
@@ -36,7 +36,7 @@
                    answer_sink& sink);
   outgoing_request MakePassed(const caller_request& request,
                               const peer_entry& peer);
-  bool MayTryNext(const caller_request& request, const answer_note& note);
+  bool MayTryNext(const caller_request& request, const response_status& note);
 
   peer_directory& peers_;
   peer_signer& signer_;
--- a/src/libsamphire/gateway/refusal_handler.h
+++ b/src/libsamphire/gateway/refusal_handler.h
@@ -4,7 +4,7 @@
 #include <Poco/Net/HTTPRequestHandler.h>
 #include <Poco/Net/HTTPServerResponse.h>
 
-#include "front/answer_writer.h"
+#include "front/response_writer.h"
 #include "metrics/metrics.h"
 
 namespace samphire {
@@ -18,7 +18,7 @@
   void handleRequest(Poco::Net::HTTPServerRequest& /*request*/,
                      Poco::Net::HTTPServerResponse& response) override {
     metrics_.CountRefusal(code_);
-    WriteRefusal(response, answer_note{.code = code_});
+    WriteRefusal(response, response_status{.code = code_});
   }
 
  private:
--- a/src/libsamphire/gateway/region_choice.cc
+++ b/src/libsamphire/gateway/region_choice.cc
@@ -29,7 +29,7 @@
 
 // Only what surely did not run, and only what another region can change: a
 // key that is used elsewhere or a request in quarantine is refused by all.
-bool MayShift(const answer_note& note) {
+bool MayShift(const response_status& note) {
   if (note.run != run_state::kNotRun)
     return false;
   switch (note.code) {
--- a/src/libsamphire/gateway/region_choice.h
+++ b/src/libsamphire/gateway/region_choice.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "base/clock_source.h"
-#include "front/answer_note.h"
+#include "front/response_status.h"
 #include "gateway/deployment.h"
 
 namespace samphire {
@@ -27,7 +27,7 @@
     const std::vector<region_option>& regions);
 
 // Whether a request that ended like this may be shifted to the next region.
-bool MayShift(const answer_note& note);
+bool MayShift(const response_status& note);
 
 }  // namespace samphire
 
--- a/src/libsamphire/gateway/request_router.cc
+++ b/src/libsamphire/gateway/request_router.cc
@@ -29,9 +29,9 @@
 void request_router::Route(const caller_request& request,
                            const caller_watch& caller,
                            answer_sink& sink) {
-  answer_note told{.code = result_code::kNoTargetAvailable,
-                   .config_version = request.deployment->version(),
-                   .retry_after = kRetryAfter};
+  response_status told{.code = result_code::kNoTargetAvailable,
+                       .config_version = request.deployment->version(),
+                       .retry_after = kRetryAfter};
   for (const auto& region : RegionsFor(request)) {
     const auto end = ServeIn(region, request, caller, sink);
     const auto* failed = std::get_if<unanswered>(&end);
--- a/src/libsamphire/gateway/serve_end.h
+++ b/src/libsamphire/gateway/serve_end.h
@@ -3,7 +3,7 @@
 
 #include <variant>
 
-#include "front/answer_note.h"
+#include "front/response_status.h"
 
 namespace samphire {
 
@@ -13,7 +13,7 @@
 // Nothing was sent yet; the note says what would be told, so that another
 // region can be tried first.
 struct unanswered {
-  answer_note note;
+  response_status note;
 };
 
 using serve_end = std::variant<answered, unanswered>;
--- a/src/libsamphire/gateway/service_gate.cc
+++ b/src/libsamphire/gateway/service_gate.cc
@@ -85,7 +85,7 @@
                               const caller_watch& caller) {
   const auto ready = [&self] { return self.fate.has_value(); };
   while (!self.wake.wait_for(guard, kCallerCheck, ready)) {
-    if (caller.IsGone())
+    if (caller.IsDisconnected())
       return GiveUp(request_id);
   }
   return std::visit([](const auto& fate) { return slot_wait(fate); },
--- a/src/libsamphire/gateway/service_handler.cc
+++ b/src/libsamphire/gateway/service_handler.cc
@@ -24,7 +24,7 @@
   caller_answer sink(request, response);
   auto read = Read(whole);
   if (!read) {
-    if (!whole.IsConsumed())
+    if (!whole.IsFullyRead())
       response.setKeepAlive(false);
     Refuse(sink, read.error());
     return;
@@ -81,10 +81,11 @@
        {"name", NameOf(why.code)},
        {"detail", why.detail}});
   const auto present = context_.state.deployments.Get();
-  sink.Refuse(answer_note{.code = why.code,
-                          .config_version = present ? present->version() : 0,
-                          .retry_after = kRetryAfter,
-                          .detail = why.detail});
+  sink.Refuse(
+      response_status{.code = why.code,
+                      .config_version = present ? present->version() : 0,
+                      .retry_after = kRetryAfter,
+                      .detail = why.detail});
 }
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/text_handler.h
+++ b/src/libsamphire/gateway/text_handler.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <utility>
 
-#include "front/answer_writer.h"
+#include "front/response_writer.h"
 
 namespace samphire {
 
--- a/src/libsamphire/proxy/body_framing.cc
+++ b/src/libsamphire/proxy/body_framing.cc
@@ -7,6 +7,7 @@
 
 namespace {
 
+// Lower statuses are informational and have no body.
 constexpr int kFirstFinalStatus = 200;
 
 bool HasNoBody(const Poco::Net::HTTPResponse& head) {
@@ -18,14 +19,16 @@
 
 }  // namespace
 
-result<body_framing> FramingOf(const Poco::Net::HTTPResponse& head,
-                               bool answers_head_request) {
-  if (answers_head_request || HasNoBody(head))
+result<body_framing> ParseResponseFraming(const Poco::Net::HTTPResponse& head,
+                                          bool is_response_to_head) {
+  if (is_response_to_head || HasNoBody(head))
     return body_framing(no_body{});
   if (head.getChunkedTransferEncoding()) {
-    // Both at once is how one answer is smuggled into another's place.
+    // Both headers at once are a sign of response smuggling: part of the body
+    // could be taken for the response to another request.
     if (head.has(Poco::Net::HTTPMessage::CONTENT_LENGTH))
-      return MakeError(result_code::kTargetFailed, "length and chunks at once");
+      return MakeError(result_code::kTargetFailed,
+                       "response has both Content-Length and chunked coding");
     return body_framing(chunked_body{});
   }
   Poco::UInt64 length = 0;
@@ -33,7 +36,8 @@
     return body_framing(until_close_body{});
   if (!Poco::NumberParser::tryParseUnsigned64(
           head.get(Poco::Net::HTTPMessage::CONTENT_LENGTH), length)) {
-    return MakeError(result_code::kTargetFailed, "nonsense Content-Length");
+    return MakeError(result_code::kTargetFailed,
+                     "invalid Content-Length in response");
   }
   return body_framing(fixed_length_body{length});
 }
--- a/src/libsamphire/proxy/body_framing.h
+++ b/src/libsamphire/proxy/body_framing.h
@@ -10,21 +10,26 @@
 
 namespace samphire {
 
-// How the end of an answer's body is told.
+// How the end of a message body is determined (RFC 9112, message body length).
 struct no_body {};
 struct fixed_length_body {
   std::uint64_t length = 0;
 };
+// Ends with the chunk of length zero and its trailer.
 struct chunked_body {};
-// Ends with its connection: an orderly close ends it, a reset cuts it.
+// Ends with its connection: an orderly close completes the body, a reset
+// truncates it.
 struct until_close_body {};
 
 using body_framing =
     std::variant<no_body, fixed_length_body, chunked_body, until_close_body>;
 
-// What the head of an answer says.
-result<body_framing> FramingOf(const Poco::Net::HTTPResponse& head,
-                               bool answers_head_request);
+// Determines the framing of a response's body from its head.
+// `is_response_to_head` tells that the request's method was HEAD. Fails with
+// kTargetFailed if the length headers are invalid or contradictory. May be
+// called from any thread.
+result<body_framing> ParseResponseFraming(const Poco::Net::HTTPResponse& head,
+                                          bool is_response_to_head);
 
 }  // namespace samphire
 
--- a/src/libsamphire/proxy/body_reader.cc
+++ b/src/libsamphire/proxy/body_reader.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-// No sender needs longer chunk heads or trailers; bounding them keeps a broken
-// target from filling the memory.
+// Bounds of one chunk head or trailer line, and of the lines of a trailer. No
+// sender needs more; without bounds a faulty target could exhaust the memory.
 constexpr std::size_t kMaxLineBytes = 4096;
 constexpr int kMaxTrailerLines = 64;
 
@@ -19,7 +19,8 @@
   return MakeError(result_code::kAnswerTruncated);
 }
 
-// One line without its line end; false if the stream ends before the line.
+// Reads one line and removes its line end. Returns false if the stream ends
+// within the line or the line is too long.
 bool ReadLine(std::istream& input, std::string& line) {
   line.clear();
   for (int c = input.get(); c != std::char_traits<char>::eof();
@@ -41,24 +42,24 @@
 body_reader::body_reader(std::istream& input, body_framing framing)
     : input_(input), framing_(framing) {}
 
-// POCO's own chunked stream ends alike for a whole body and for a connection
-// that closed between two chunks. A level cut in the middle would then pass
-// for the whole answer, so the end is told here from the last chunk alone.
+// POCO's own chunked stream ends in the same way for a complete body and for a
+// connection that closed between two chunks, so a truncated reading would pass
+// for the complete response. Here only the last chunk marks the end.
 result<std::size_t> body_reader::Read(std::span<char> buffer) {
   if (ended_)
     return std::size_t{0};
-  return std::visit([&](auto& framing) { return ReadPart(framing, buffer); },
+  return std::visit([&](auto& framing) { return ReadFramed(framing, buffer); },
                     framing_);
 }
 
-result<std::size_t> body_reader::ReadPart(const no_body& /*framing*/,
-                                          std::span<char> /*buffer*/) {
+result<std::size_t> body_reader::ReadFramed(const no_body& /*framing*/,
+                                            std::span<char> /*buffer*/) {
   ended_ = true;
   return std::size_t{0};
 }
 
-result<std::size_t> body_reader::ReadPart(fixed_length_body& framing,
-                                          std::span<char> buffer) {
+result<std::size_t> body_reader::ReadFramed(fixed_length_body& framing,
+                                            std::span<char> buffer) {
   if (framing.length == 0) {
     ended_ = true;
     return std::size_t{0};
@@ -66,47 +67,48 @@
   return ReadSome(buffer, framing.length);
 }
 
-result<std::size_t> body_reader::ReadPart(const chunked_body& /*framing*/,
-                                          std::span<char> buffer) {
-  if (chunk_left_ == 0) {
+result<std::size_t> body_reader::ReadFramed(const chunked_body& /*framing*/,
+                                            std::span<char> buffer) {
+  if (chunk_remaining_ == 0) {
     BOOST_OUTCOME_TRY(length, ReadChunkHead());
     if (length == 0) {
       BOOST_OUTCOME_TRYV(SkipTrailer());
       ended_ = true;
       return std::size_t{0};
     }
-    chunk_left_ = length;
+    chunk_remaining_ = length;
   }
-  return ReadSome(buffer, chunk_left_);
+  return ReadSome(buffer, chunk_remaining_);
 }
 
-// Whether the close was orderly is for the owner of the connection to judge.
-result<std::size_t> body_reader::ReadPart(const until_close_body& /*framing*/,
-                                          std::span<char> buffer) {
+// The stream doesn't show whether the close was orderly; the owner of the
+// connection has to check that.
+result<std::size_t> body_reader::ReadFramed(const until_close_body& /*framing*/,
+                                            std::span<char> buffer) {
   if (input_.peek() == std::char_traits<char>::eof()) {
     ended_ = true;
     return std::size_t{0};
   }
-  std::uint64_t endless = buffer.size();
-  return ReadSome(buffer, endless);
+  std::uint64_t unlimited = buffer.size();
+  return ReadSome(buffer, unlimited);
 }
 
-// Takes what has arrived rather than waiting for a full buffer, so that a slow
-// stream reaches the caller as it comes.
+// Returns the bytes that have arrived instead of waiting for a full buffer, so
+// that a slow stream is forwarded to the caller without delay.
 result<std::size_t> body_reader::ReadSome(std::span<char> buffer,
-                                          std::uint64_t& left) {
+                                          std::uint64_t& remaining) {
   if (input_.peek() == std::char_traits<char>::eof())
     return Truncated();
-  const auto wanted = static_cast<std::streamsize>(
-      std::min<std::uint64_t>(left, buffer.size()));
-  const auto got = input_.readsome(buffer.data(), wanted);
-  left -= static_cast<std::uint64_t>(got);
-  return static_cast<std::size_t>(got);
+  const auto requested = static_cast<std::streamsize>(
+      std::min<std::uint64_t>(remaining, buffer.size()));
+  const auto bytes_read = input_.readsome(buffer.data(), requested);
+  remaining -= static_cast<std::uint64_t>(bytes_read);
+  return static_cast<std::size_t>(bytes_read);
 }
 
 result<std::uint64_t> body_reader::ReadChunkHead() {
   std::string line;
-  // Each chunk but the first follows the line end of the one before.
+  // Each chunk but the first is preceded by the line end of the previous one.
   if (!std::exchange(first_chunk_, false) &&
       (!ReadLine(input_, line) || !line.empty()))
     return Truncated();
--- a/src/libsamphire/proxy/body_reader.h
+++ b/src/libsamphire/proxy/body_reader.h
@@ -11,30 +11,37 @@
 
 namespace samphire {
 
-// Reads the body of one answer piece by piece and knows whether it was whole.
+// Reads one message body incrementally and detects whether it was complete. Not
+// thread-safe; `input` must outlive the reader.
 class body_reader {
  public:
   body_reader(std::istream& input, body_framing framing);
 
-  // Fills `buffer` with what is there; 0 only at the true end of the body.
-  // A body that stops before its end is kAnswerTruncated.
+  // Waits for bytes, copies those that have arrived into `buffer` and returns
+  // their number; 0 only at the actual end of the body. Fails with
+  // kAnswerTruncated if the stream stops before the end, or if the framing is
+  // invalid. For until_close_body every end of the stream is an end of the
+  // body.
   result<std::size_t> Read(std::span<char> buffer);
 
  private:
-  result<std::size_t> ReadPart(const no_body& framing, std::span<char> buffer);
-  result<std::size_t> ReadPart(fixed_length_body& framing,
-                               std::span<char> buffer);
-  result<std::size_t> ReadPart(const chunked_body& framing,
-                               std::span<char> buffer);
-  result<std::size_t> ReadPart(const until_close_body& framing,
-                               std::span<char> buffer);
-  result<std::size_t> ReadSome(std::span<char> buffer, std::uint64_t& left);
+  result<std::size_t> ReadFramed(const no_body& framing,
+                                 std::span<char> buffer);
+  result<std::size_t> ReadFramed(fixed_length_body& framing,
+                                 std::span<char> buffer);
+  result<std::size_t> ReadFramed(const chunked_body& framing,
+                                 std::span<char> buffer);
+  result<std::size_t> ReadFramed(const until_close_body& framing,
+                                 std::span<char> buffer);
+  result<std::size_t> ReadSome(std::span<char> buffer,
+                               std::uint64_t& remaining);
   result<std::uint64_t> ReadChunkHead();
   result<void> SkipTrailer();
 
   std::istream& input_;
   body_framing framing_;
-  std::uint64_t chunk_left_ = 0;
+  // Bytes of the current chunk that have not been read yet.
+  std::uint64_t chunk_remaining_ = 0;
   bool first_chunk_ = true;
   bool ended_ = false;
 };
--- a/src/libsamphire/proxy/body_source.h
+++ b/src/libsamphire/proxy/body_source.h
@@ -8,12 +8,13 @@
 
 namespace samphire {
 
-// Where a body comes from, piece by piece.
+// Source of a message body that is read incrementally, by one thread at a time.
 class body_source {
  public:
   virtual ~body_source() = default;
 
-  // Fills `buffer` with what has come; 0 only at the true end of the body.
+  // Copies bytes that have arrived into `buffer` and returns their number; 0
+  // only at the actual end of the body. Fails if the body is incomplete.
   virtual result<std::size_t> Read(std::span<char> buffer) = 0;
 };
 
--- a/src/libsamphire/proxy/caller_watch.cc
+++ b/src/libsamphire/proxy/caller_watch.cc
@@ -11,10 +11,11 @@
   return socket_ ? socket_->impl()->sockfd() : -1;
 }
 
-// A caller that gave up keeps a slot busy at a target, in a downpour most of
-// all, when callers give up most. It shows as a closed connection; asking for
-// the hang-up alone leaves a pipelined next request unread.
-bool caller_watch::IsGone() const {
+// The request of a caller that has disconnected keeps a slot of a target busy,
+// most of all under peak load, when most callers cancel. A disconnect shows as
+// a hang-up of the connection; polling for the hang-up alone leaves a pipelined
+// next request unread.
+bool caller_watch::IsDisconnected() const {
   if (!socket_)
     return false;
   pollfd entry{descriptor(), POLLRDHUP, 0};
--- a/src/libsamphire/proxy/caller_watch.h
+++ b/src/libsamphire/proxy/caller_watch.h
@@ -7,15 +7,18 @@
 
 namespace samphire {
 
-// Tells whether the caller of a request still waits for its answer.
+// Detects whether the caller of a request has disconnected. Doesn't read from
+// the connection. A default-constructed one stands for a request without a
+// caller connection and never reports a disconnect.
 class caller_watch {
  public:
   caller_watch() = default;
   explicit caller_watch(const Poco::Net::StreamSocket& socket);
 
-  // The descriptor to poll for a hang-up, or -1 where there is no caller.
+  // Returns the file descriptor to poll for a hang-up, or -1 without a caller.
   int descriptor() const;
-  bool IsGone() const;
+  // Returns at once.
+  bool IsDisconnected() const;
 
  private:
   std::optional<Poco::Net::StreamSocket> socket_;
--- a/src/libsamphire/proxy/connection_pool.cc
+++ b/src/libsamphire/proxy/connection_pool.cc
@@ -4,27 +4,30 @@
 #include <Poco/Net/SocketAddress.h>
 #include <Poco/Timespan.h>
 
-#include "proxy/silence_limit.h"
+#include "proxy/dead_peer_timeout.h"
 
 namespace samphire {
 
 namespace {
 
-// Targets close idle connections after some seconds; one that is about to be
-// closed would cost the request a failed attempt.
+// Time after which an idle connection is no longer reused. Targets close idle
+// connections after some seconds, and a request on a connection that is just
+// being closed would be a failed attempt.
 constexpr milliseconds kMaxIdle{2000};
 
-// More than this are never busy at once towards one target, since its slots
-// bound the work that is sent to it.
+// Bounds the idle connections kept per address. More are never busy at once
+// towards one target, since its slots bound the work that is sent to it.
 constexpr std::size_t kMaxIdlePerAddress = 64;
 
-// Without it, bytes to a machine that lost power or is cut off are sent again
-// for many minutes, and whoever waits learns of it only by the deadline.
-constexpr milliseconds kSilenceLimit{1000};
+// Time without any acknowledgement after which a connection fails. Without it,
+// TCP would retransmit to a machine that lost power or is partitioned for many
+// minutes, and the waiting request would notice only at its deadline.
+constexpr milliseconds kDeadPeerTimeout{1000};
 
-// An idle connection must be silent: readable means closed, or an answer that
-// nobody asked for and that the next request must not be given.
-bool IsSilent(Poco::Net::StreamSocket& socket) {
+// An idle connection must have no input. Readable means that it was closed, or
+// that an unsolicited response arrived, which must not be taken for the
+// response to the next request.
+bool HasNoPendingInput(Poco::Net::StreamSocket& socket) {
   try {
     return !socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ);
   } catch (const Poco::Exception&) {
@@ -34,11 +37,11 @@
 
 }  // namespace
 
-result<connection_pool::pooled_connection> connection_pool::Take(
+result<connection_pool::pooled_connection> connection_pool::Acquire(
     const std::string& address,
     milliseconds connect_timeout) {
-  while (auto socket = TakeIdle(address)) {
-    if (IsSilent(*socket))
+  while (auto socket = AcquireIdle(address)) {
+    if (HasNoPendingInput(*socket))
       return pooled_connection{*socket, true};
   }
   return Open(address, connect_timeout);
@@ -54,15 +57,15 @@
         Poco::Timespan(
             std::chrono::duration_cast<microseconds>(connect_timeout).count()));
     socket.setNoDelay(true);
-    SetSilenceLimit(socket, kSilenceLimit);
+    SetDeadPeerTimeout(socket, kDeadPeerTimeout);
     return pooled_connection{socket, false};
   } catch (const Poco::Exception& e) {
     return MakeError(result_code::kTargetUnreachable, e.displayText());
   }
 }
 
-void connection_pool::Give(const std::string& address,
-                           const Poco::Net::StreamSocket& socket) {
+void connection_pool::Release(const std::string& address,
+                              const Poco::Net::StreamSocket& socket) {
   idle_.With(address, [&](idle_map& idle) {
     auto& connections = idle[address];
     connections.push_back({socket, std::chrono::steady_clock::now()});
@@ -71,12 +74,13 @@
   });
 }
 
-void connection_pool::Forget(const std::string& address) {
+void connection_pool::CloseIdle(const std::string& address) {
   idle_.With(address, [&](idle_map& idle) { idle.erase(address); });
 }
 
-// The newest first: it is the least likely to be closed by the other side.
-std::optional<Poco::Net::StreamSocket> connection_pool::TakeIdle(
+// Returns the connection that was used last, which is the least likely to have
+// been closed by the other side. Drops connections idle for too long.
+std::optional<Poco::Net::StreamSocket> connection_pool::AcquireIdle(
     const std::string& address) {
   const auto now = std::chrono::steady_clock::now();
   return idle_.With(
@@ -86,7 +90,7 @@
           return std::nullopt;
         auto& connections = found->second;
         while (!connections.empty() &&
-               now - connections.front().since > kMaxIdle)
+               now - connections.front().idle_since > kMaxIdle)
           connections.pop_front();
         if (connections.empty())
           return std::nullopt;
--- a/src/libsamphire/proxy/connection_pool.h
+++ b/src/libsamphire/proxy/connection_pool.h
@@ -14,32 +14,41 @@
 
 namespace samphire {
 
-// Idle connections to targets and peers, by address. Only a connection whose
-// last answer was read to its end may come back here.
+// Pool of idle connections to targets and peers, by address. Only a connection
+// whose last response was read to its end may be released to the pool. All
+// functions may be called from any thread.
 class connection_pool {
  public:
   struct pooled_connection {
     Poco::Net::StreamSocket socket;
+    // Whether the connection has carried an earlier request.
     bool reused = false;
   };
 
-  // An idle connection that still looks open, or a new one.
-  result<pooled_connection> Take(const std::string& address,
-                                 milliseconds connect_timeout);
-  // Always a new one.
+  // Returns an idle connection that still appears open, or opens a new one.
+  // Fails with kTargetUnreachable if connecting fails or exceeds the timeout.
+  result<pooled_connection> Acquire(const std::string& address,
+                                    milliseconds connect_timeout);
+  // Opens a new connection in any case. Fails like Acquire().
   static result<pooled_connection> Open(const std::string& address,
                                         milliseconds connect_timeout);
-  void Give(const std::string& address, const Poco::Net::StreamSocket& socket);
-  void Forget(const std::string& address);
+  // Makes a connection available for reuse. Over the bound per address, the
+  // oldest idle connection is dropped.
+  void Release(const std::string& address,
+               const Poco::Net::StreamSocket& socket);
+  // Drops all idle connections to `address`, for example after a failed
+  // attempt.
+  void CloseIdle(const std::string& address);
 
  private:
   struct idle_connection {
     Poco::Net::StreamSocket socket;
-    time_point since;
+    time_point idle_since;
   };
   using idle_map = std::map<std::string, std::deque<idle_connection>>;
 
-  std::optional<Poco::Net::StreamSocket> TakeIdle(const std::string& address);
+  std::optional<Poco::Net::StreamSocket> AcquireIdle(
+      const std::string& address);
 
   sharded<idle_map> idle_;
 };
--- a/src/libsamphire/proxy/exchange_options.h
+++ b/src/libsamphire/proxy/exchange_options.h
@@ -7,16 +7,18 @@
 
 namespace samphire {
 
-// How one exchange deals with the other side.
+// Options of one HTTP exchange with a target or peer.
 struct exchange_options {
-  // A target on the same or the next site answers a connection in about 1 ms;
-  // a longer wait only delays the attempt on another target.
+  // Bounds opening a connection. A target on the same or a neighbouring site
+  // accepts a connection in about 1 ms; waiting longer only delays the attempt
+  // on another target.
   milliseconds connect_timeout{500};
-  // Whether an answer may end with its connection instead of telling its
-  // length. A cut one can then be known by a reset only.
+  // Whether a response may end with its connection instead of declaring its
+  // length. A truncated response can then be detected only by a reset.
   bool accept_unframed = false;
-  // Where the other side echoes the request's id: the header's name. An answer
-  // with another id is a late one to an earlier request and is passed over.
+  // Name of the header in which the other side echoes the request's id, empty
+  // if it doesn't, and the id expected there. A response with another id is a
+  // late response to an earlier request and is skipped.
   std::string echo_header;
   std::string echo_value;
 };
--- a/src/libsamphire/proxy/exchange_stage.h
+++ b/src/libsamphire/proxy/exchange_stage.h
@@ -5,8 +5,8 @@
 
 namespace samphire {
 
-// How far one exchange with a target or peer has come. It decides what may be
-// said of the request: until kSending nothing can have run.
+// Progress of one exchange with a target or peer. It determines what can be
+// reported about the request: before kSending it can't have run.
 enum class exchange_stage { kConnecting, kSending, kAwaitingHead, kReceiving };
 
 inline constexpr enum_names<exchange_stage, 4> kExchangeStageNames{{
--- a/src/libsamphire/proxy/http_exchange.cc
+++ b/src/libsamphire/proxy/http_exchange.cc
@@ -14,15 +14,17 @@
 
 namespace {
 
-// Late answers to earlier requests that are passed over on one connection;
-// with more, its bytes are not to be trusted.
-constexpr int kMaxLateAnswers = 2;
+// Bounds the late responses to earlier requests that are skipped on one
+// connection. With more of them, the connection can't be trusted.
+constexpr int kMaxLateResponses = 2;
 
-constexpr std::size_t kPieceBytes = std::size_t{16} << 10U;
+// Bytes of a request body forwarded at a time.
+constexpr std::size_t kReadBufferBytes = std::size_t{16} << 10U;
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-// An empty chunk would be taken for the last.
-std::string ChunkOf(std::string_view bytes) {
+// Returns nothing for empty input: an empty chunk would mark the end of the
+// body.
+std::string EncodeChunk(std::string_view bytes) {
   if (bytes.empty())
     return {};
   return fmt::format("{:x}\r\n{}\r\n", bytes.size(), bytes);
@@ -54,32 +56,32 @@
       caller_(caller),
       deadline_(deadline) {}
 
-// An answer that was given up on may still arrive. On a connection that is
-// used again it would be taken for the answer to the next request, which is
-// another caller's; so such a connection is closed and never pooled.
+// The response to a cancelled or expired request may still arrive. On a reused
+// connection it would be taken for the response to the next request, which
+// belongs to another caller. So such a connection is closed and never pooled.
 http_exchange::~http_exchange() {
   if (!connection_)
     return;
   try {
-    if (whole_ && keep_alive_)
-      pool_.Give(address_, connection_->socket);
+    if (response_complete_ && keep_alive_)
+      pool_.Release(address_, connection_->socket);
     else
       connection_->socket.close();
   } catch (const Poco::Exception&) {
-    // The connection is gone already, which is what closing is for.
+    // The connection is closed already.
   }
 }
 
 result<void> http_exchange::Connect(bool fresh) {
-  const auto left = TimeLeft(deadline_);
-  if (left.count() <= 0)
+  const auto time_left = TimeLeft(deadline_);
+  if (time_left.count() <= 0)
     return MakeError(result_code::kDeadlineExceeded);
-  const auto timeout = std::min(left, options_.connect_timeout);
-  auto taken = fresh ? connection_pool::Open(address_, timeout)
-                     : pool_.Take(address_, timeout);
-  if (!taken)
-    return taken.error();
-  connection_ = std::move(taken.value());
+  const auto timeout = std::min(time_left, options_.connect_timeout);
+  auto acquired = fresh ? connection_pool::Open(address_, timeout)
+                        : pool_.Acquire(address_, timeout);
+  if (!acquired)
+    return acquired.error();
+  connection_ = std::move(acquired.value());
   buffer_ = std::make_unique<socket_input_buf>(connection_->socket, deadline_,
                                                caller_);
   input_ = std::make_unique<std::istream>(buffer_.get());
@@ -88,16 +90,16 @@
 
 result<void> http_exchange::Send(const Poco::Net::HTTPRequest& head,
                                  std::string_view body,
-                                 body_source* rest) {
-  head_request_ = head.getMethod() == Poco::Net::HTTPRequest::HTTP_HEAD;
+                                 body_source* body_remainder) {
+  is_head_request_ = head.getMethod() == Poco::Net::HTTPRequest::HTTP_HEAD;
   const bool chunked = head.getChunkedTransferEncoding();
   std::ostringstream text;
   head.write(text);
   stage_ = exchange_stage::kSending;
-  BOOST_OUTCOME_TRYV(
-      SendBytes(text.str() + (chunked ? ChunkOf(body) : std::string(body))));
-  if (rest != nullptr) {
-    BOOST_OUTCOME_TRYV(SendRest(*rest, chunked));
+  BOOST_OUTCOME_TRYV(SendBytes(
+      text.str() + (chunked ? EncodeChunk(body) : std::string(body))));
+  if (body_remainder != nullptr) {
+    BOOST_OUTCOME_TRYV(SendBodyRemainder(*body_remainder, chunked));
   }
   stage_ = exchange_stage::kAwaitingHead;
   return Success();
@@ -105,44 +107,48 @@
 
 result<void> http_exchange::SendBytes(std::string_view bytes) {
   try {
-    const auto left = std::max(milliseconds{1}, TimeLeft(deadline_));
+    const auto time_left = std::max(milliseconds{1}, TimeLeft(deadline_));
     connection_->socket.setSendTimeout(
-        Poco::Timespan(microseconds(left).count()));
+        Poco::Timespan(microseconds(time_left).count()));
     SendAll(connection_->socket, bytes);
   } catch (const Poco::Exception& e) {
-    stale_ = connection_->reused;
+    failed_on_stale_connection_ = connection_->reused;
     return MakeError(result_code::kTargetFailed, e.displayText());
   }
   return Success();
 }
 
-result<void> http_exchange::SendRest(body_source& rest, bool chunked) {
-  std::vector<char> piece(kPieceBytes);
+result<void> http_exchange::SendBodyRemainder(body_source& body_remainder,
+                                              bool chunked) {
+  std::vector<char> buffer(kReadBufferBytes);
   while (true) {
-    BOOST_OUTCOME_TRY(got, rest.Read(piece));
-    if (got == 0)
+    BOOST_OUTCOME_TRY(bytes_read, body_remainder.Read(buffer));
+    if (bytes_read == 0)
       return chunked ? SendBytes(kLastChunk) : result<void>(Success());
-    const std::string_view bytes(piece.data(), got);
-    BOOST_OUTCOME_TRYV(chunked ? SendBytes(ChunkOf(bytes)) : SendBytes(bytes));
+    const std::string_view bytes(buffer.data(), bytes_read);
+    BOOST_OUTCOME_TRYV(chunked ? SendBytes(EncodeChunk(bytes))
+                               : SendBytes(bytes));
   }
 }
 
-// A target may answer a request twice, the second time when the connection
-// already carries the next request. Taken for that one's answer it would reach
-// another caller; so answers that echo another request's id are passed over.
+// A faulty target may respond to a request twice, the second time when the
+// connection already carries the next request. Taken for the response to that
+// request, it would reach another caller. So responses that echo another
+// request's id are skipped.
 result<Poco::Net::HTTPResponse*> http_exchange::ReadHead() {
-  for (int late = 0; late <= kMaxLateAnswers; ++late) {
-    BOOST_OUTCOME_TRYV(ReadOneHead());
-    if (!IsForAnother()) {
+  for (int late = 0; late <= kMaxLateResponses; ++late) {
+    BOOST_OUTCOME_TRYV(ReadNextHead());
+    if (!IsResponseToOtherRequest()) {
       stage_ = exchange_stage::kReceiving;
       return &*head_;
     }
-    BOOST_OUTCOME_TRYV(SkipAnswer());
+    BOOST_OUTCOME_TRYV(SkipResponse());
   }
-  return MakeError(result_code::kTargetFailed, "answers to other requests");
+  return MakeError(result_code::kTargetFailed,
+                   "too many responses to other requests");
 }
 
-result<void> http_exchange::ReadOneHead() {
+result<void> http_exchange::ReadNextHead() {
   try {
     do {
       head_.emplace();
@@ -150,18 +156,20 @@
     } while (head_->getStatus() == Poco::Net::HTTPResponse::HTTP_CONTINUE);
   } catch (const Poco::Exception&) {
     const auto failure = buffer_->failure();
-    stale_ = connection_->reused && (failure == result_code::kOk ||
-                                     failure == result_code::kTargetFailed);
-    return FailureOf(result_code::kTargetFailed);
+    failed_on_stale_connection_ =
+        connection_->reused &&
+        (failure == result_code::kOk || failure == result_code::kTargetFailed);
+    return MakeReadError(result_code::kTargetFailed);
   }
-  auto framing = FramingOf(*head_, head_request_);
+  auto framing = ParseResponseFraming(*head_, is_head_request_);
   if (!framing)
     return framing.error();
   framing_ = framing.value();
   if (std::holds_alternative<until_close_body>(framing_) &&
       !options_.accept_unframed) {
     return MakeError(result_code::kAnswerTruncated,
-                     "an answer without length or chunks can't be known whole");
+                     "response has neither Content-Length nor chunked coding, "
+                     "so its end can't be verified");
   }
   keep_alive_ = head_->getKeepAlive() &&
                 !std::holds_alternative<until_close_body>(framing_);
@@ -169,9 +177,9 @@
   return Success();
 }
 
-// On a connection that carried no request before, the first answer can only
-// be to this one, so there a missing id is no reason to doubt it.
-bool http_exchange::IsForAnother() const {
+// On a new connection the first response can only belong to this request, so a
+// missing id is accepted there. On a reused connection it is not.
+bool http_exchange::IsResponseToOtherRequest() const {
   if (options_.echo_header.empty())
     return false;
   if (!head_->has(options_.echo_header))
@@ -179,36 +187,37 @@
   return head_->get(options_.echo_header) != options_.echo_value;
 }
 
-result<void> http_exchange::SkipAnswer() {
-  std::array<char, 4096> piece;
+result<void> http_exchange::SkipResponse() {
+  std::array<char, 4096> buffer;
   while (true) {
-    const auto got = body_->Read(piece);
-    if (!got)
-      return FailureOf(got.error().code);
-    if (got.value() == 0)
+    const auto read_result = body_->Read(buffer);
+    if (!read_result)
+      return MakeReadError(read_result.error().code);
+    if (read_result.value() == 0)
       return Success();
   }
 }
 
 result<std::size_t> http_exchange::ReadBody(std::span<char> buffer) {
-  auto got = body_->Read(buffer);
-  if (!got)
-    return FailureOf(got.error().code);
-  if (got.value() == 0) {
-    // A body that ends with its connection is whole only if that was closed
-    // in order.
+  auto read_result = body_->Read(buffer);
+  if (!read_result)
+    return MakeReadError(read_result.error().code);
+  if (read_result.value() == 0) {
+    // A body that ends with its connection is complete only if the connection
+    // was closed in an orderly way.
     if (std::holds_alternative<until_close_body>(framing_) &&
         buffer_->failure() != result_code::kOk)
-      return FailureOf(result_code::kAnswerTruncated);
-    // Bytes beyond the answer belong to no request of ours.
-    whole_ = buffer_->in_avail() <= 0;
+      return MakeReadError(result_code::kAnswerTruncated);
+    // Bytes beyond the response belong to no request of this connection, so it
+    // must not be reused.
+    response_complete_ = buffer_->in_avail() <= 0;
   }
-  return got.value();
+  return read_result.value();
 }
 
-error http_exchange::FailureOf(result_code otherwise) const {
+error http_exchange::MakeReadError(result_code fallback) const {
   const auto failure = buffer_->failure();
-  return MakeError(failure == result_code::kOk ? otherwise : failure);
+  return MakeError(failure == result_code::kOk ? fallback : failure);
 }
 
 }  // namespace samphire
--- a/src/libsamphire/proxy/http_exchange.h
+++ b/src/libsamphire/proxy/http_exchange.h
@@ -23,9 +23,14 @@
 
 namespace samphire {
 
-// One request to a target or peer and its answer, on a connection that goes
-// back to the pool only after the answer was read to its end. Destroying it
-// earlier closes the connection, which cancels the work.
+// One request to a target or peer and its response. The connection returns to
+// the pool only after the response was read to its end; destroying the exchange
+// earlier closes the connection, which cancels the work at the other side.
+// Connect(), Send(), ReadHead() and ReadBody() are called in this order, by one
+// thread. Reads block at most until `deadline` and fail with kCallerGone once
+// the caller disconnects; a single write times out after the time left until
+// `deadline`, or after 1 ms if less is left. `pool` and `caller` must outlive
+// the exchange.
 class http_exchange {
  public:
   http_exchange(connection_pool& pool,
@@ -37,31 +42,45 @@
   http_exchange(const http_exchange&) = delete;
   http_exchange& operator=(const http_exchange&) = delete;
 
-  // `fresh` asks for a new connection: a request that may not be repeated must
-  // not be lost to a connection that the other side was just closing.
+  // Acquires a connection from the pool, or opens a new one if `fresh`: a
+  // request that must not be repeated should not be lost on a connection that
+  // the other side is just closing. Fails with kDeadlineExceeded or
+  // kTargetUnreachable.
   result<void> Connect(bool fresh);
-  // `rest` is what follows `body`, if that isn't all. Where it fails, so does
-  // the request, with its reason; the other side then never sees a whole one.
+  // Sends the request. `body_remainder` supplies what follows `body`, if that
+  // is not all. If reading it fails, Send() fails with the same error, and the
+  // other side never receives a complete request. Fails with kTargetFailed if a
+  // write fails or times out.
   result<void> Send(const Poco::Net::HTTPRequest& head,
                     std::string_view body,
-                    body_source* rest = nullptr);
+                    body_source* body_remainder = nullptr);
+  // Returns the response head, valid for as long as the exchange. Skips interim
+  // responses (100 Continue) and late responses to earlier requests. Fails with
+  // kTargetFailed, kAnswerTruncated (see accept_unframed), kDeadlineExceeded or
+  // kCallerGone.
   result<Poco::Net::HTTPResponse*> ReadHead();
-  // 0 at the end of the whole body.
+  // Reads the next bytes of the response body and returns their number; 0 only
+  // at the end of a complete body. Fails with kAnswerTruncated if the body
+  // breaks off, and with kTargetFailed, kDeadlineExceeded or kCallerGone.
   result<std::size_t> ReadBody(std::span<char> buffer);
 
   exchange_stage stage() const { return stage_; }
-  // Whether the failure came on a reused connection before any byte of an
-  // answer: the likely cause is that the target had closed it when idle.
-  bool failed_on_stale_connection() const { return stale_; }
+  // Whether the request failed on a reused connection, while it was sent or
+  // before a response head: the likely cause is that the target had closed the
+  // idle connection.
+  bool failed_on_stale_connection() const {
+    return failed_on_stale_connection_;
+  }
   const body_framing& framing() const { return framing_; }
 
  private:
   result<void> SendBytes(std::string_view bytes);
-  result<void> SendRest(body_source& rest, bool chunked);
-  error FailureOf(result_code otherwise) const;
-  result<void> ReadOneHead();
-  bool IsForAnother() const;
-  result<void> SkipAnswer();
+  result<void> SendBodyRemainder(body_source& body_remainder, bool chunked);
+  // Returns why the connection ended, or `fallback` if it ended in order.
+  error MakeReadError(result_code fallback) const;
+  result<void> ReadNextHead();
+  bool IsResponseToOtherRequest() const;
+  result<void> SkipResponse();
 
   const exchange_options options_;
   connection_pool& pool_;
@@ -75,10 +94,10 @@
   std::optional<Poco::Net::HTTPResponse> head_;
   body_framing framing_;
   std::optional<body_reader> body_;
-  bool head_request_ = false;
+  bool is_head_request_ = false;
   bool keep_alive_ = false;
-  bool whole_ = false;
-  bool stale_ = false;
+  bool response_complete_ = false;
+  bool failed_on_stale_connection_ = false;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/proxy/socket_input_buf.cc
+++ b/src/libsamphire/proxy/socket_input_buf.cc
@@ -22,15 +22,16 @@
       deadline_(deadline),
       caller_(caller) {}
 
-// Waits on the target and on the caller at once. Without the second, work for
-// a caller that has gone runs on to its end; it shows as targets busy with
-// requests that nobody counts as answered. Without the deadline, a target that
-// stalls in the middle of an answer would hold the thread for ever.
+// Waits for the target and for a disconnect of the caller in one poll().
+// Without the second, work for a caller that has disconnected would run to its
+// end; targets would be busy with requests that are never counted as completed.
+// Without the deadline, a target that stalls in the middle of a response would
+// block the thread indefinitely.
 int socket_input_buf::readFromDevice(char* buffer, std::streamsize length) {
   while (true) {
-    const auto left = std::chrono::ceil<milliseconds>(
+    const auto time_left = std::chrono::ceil<milliseconds>(
         deadline_ - std::chrono::steady_clock::now());
-    if (left.count() <= 0) {
+    if (time_left.count() <= 0) {
       failure_ = result_code::kDeadlineExceeded;
       return -1;
     }
@@ -38,9 +39,9 @@
         {socket_.impl()->sockfd(), POLLIN, 0},
         {caller_.descriptor(), POLLRDHUP, 0},
     }};
-    const int ready =
-        poll(entries.data(), entries.size(),
-             static_cast<int>(std::min<std::int64_t>(left.count(), 60'000)));
+    const int ready = poll(
+        entries.data(), entries.size(),
+        static_cast<int>(std::min<std::int64_t>(time_left.count(), 60'000)));
     if (ready <= 0)
       continue;
     if ((entries[1].revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0) {
--- a/src/libsamphire/proxy/socket_input_buf.h
+++ b/src/libsamphire/proxy/socket_input_buf.h
@@ -10,15 +10,18 @@
 
 namespace samphire {
 
-// Reads a socket until a deadline and for as long as the caller waits. A read
-// that ends early looks like the end of the stream; failure() says why.
+// Input stream buffer over a socket that is read until a deadline and for as
+// long as the caller stays connected. A read that ends early appears as the end
+// of the stream; failure() returns the reason. Not thread-safe; `caller` must
+// outlive the buffer.
 class socket_input_buf final : public Poco::BufferedStreamBuf {
  public:
   socket_input_buf(const Poco::Net::StreamSocket& socket,
                    time_point deadline,
                    const caller_watch& caller);
 
-  // kOk after a plain end of the stream.
+  // kDeadlineExceeded, kCallerGone, kTargetFailed after a connection error, or
+  // kOk after an orderly end of the stream.
   result_code failure() const { return failure_; }
   void set_deadline(time_point deadline) { deadline_ = deadline; }
 
--- a/src/libsamphire/store/http_connection_pool.cc
+++ b/src/libsamphire/store/http_connection_pool.cc
@@ -5,7 +5,7 @@
 
 #include <utility>
 
-#include "proxy/silence_limit.h"
+#include "proxy/dead_peer_timeout.h"
 
 namespace samphire {
 
@@ -57,7 +57,7 @@
     socket.connect(Poco::Net::SocketAddress(address_),
                    Poco::Timespan(options_.connect_timeout.count() * 1000));
     socket.setNoDelay(true);
-    SetSilenceLimit(socket, kUnacknowledgedTimeout);
+    SetDeadPeerTimeout(socket, kUnacknowledgedTimeout);
     auto session = std::make_unique<Poco::Net::HTTPClientSession>(socket);
     session->setKeepAlive(true);
     return session;
--- a/src/libsamphire/traffic/mirror_handler.cc
+++ b/src/libsamphire/traffic/mirror_handler.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <chrono>
 
-#include "front/answer_writer.h"
+#include "front/response_writer.h"
 #include "gateway/peer_read.h"
 #include "traffic/mirror_messages.h"
 
@@ -35,7 +35,7 @@
   const auto encoded = Handle(static_cast<front_request&>(request));
   if (!encoded) {
     metrics_.CountRefusal(encoded.error().code);
-    WriteRefusal(response, answer_note{.code = encoded.error().code});
+    WriteRefusal(response, response_status{.code = encoded.error().code});
     return;
   }
   metrics_.Count("mirror_bytes_total", "",
--- a/src/libsamphire/traffic/target_exchange.cc
+++ b/src/libsamphire/traffic/target_exchange.cc
@@ -122,7 +122,7 @@
   }
   // On an overloaded CPU, a request may have waited for so long that its caller
   // has disconnected; sending it would waste the target's capacity.
-  if (caller_.IsGone()) {
+  if (caller_.IsDisconnected()) {
     Fail(result_code::kCallerGone, end);
     return true;
   }
@@ -214,7 +214,7 @@
   end.attempt.body_bytes =
       request_.body_bytes() + std::max<std::uint64_t>(declared, first.size());
   const auto streamed =
-      StreamAnswer(exchange, head, first, answer_note{}, sink_);
+      StreamAnswer(exchange, head, first, response_status{}, sink_);
   if (streamed.code != result_code::kOk)
     Fail(streamed.code, end);
 }
--- a/src/libsamphire/traffic/traffic_dispatcher.cc
+++ b/src/libsamphire/traffic/traffic_dispatcher.cc
@@ -150,7 +150,7 @@
     return false;
   const auto now = context_.clock.now();
   if (attempts_ >= kMaxAttempts || runs_ >= request_.route->max_attempts ||
-      request_.deadline - now < kMinAttemptTime || caller_.IsGone())
+      request_.deadline - now < kMinAttemptTime || caller_.IsDisconnected())
     return false;
   if (end.attempt.result == attempt_result::kConnectFailed)
     return true;
@@ -183,7 +183,7 @@
     end.response = std::move(failure_);
   if (end.response) {
     LogOutcome(result_code::kOk, end.response->head.getStatus());
-    SendHeld(sink_, *end.response, answer_note{});
+    SendHeld(sink_, *end.response, response_status{});
     return;
   }
   Refuse(end.reason, kFailureRetryAfter);
@@ -204,7 +204,7 @@
                 .run = may_have_run_ ? run_state::kUnknown : run_state::kNotRun,
                 .config_version = request_.manifest->version(),
                 .retry_after = retry_after,
-                .fine_retry_after = true});
+                .fractional_retry_after = true});
 }
 
 void traffic_dispatcher::LogAttempt(const placed_request& placed,
--- a/src/libsamphire/traffic/traffic_handler.cc
+++ b/src/libsamphire/traffic/traffic_handler.cc
@@ -25,7 +25,7 @@
   caller_answer sink(request, response, note_headers::kOnRefusals);
   const auto read = ReadTrafficRequest(incoming, context_);
   if (!read) {
-    if (!incoming.IsConsumed())
+    if (!incoming.IsFullyRead())
       response.setKeepAlive(false);
     Refuse(sink, incoming.get(context_.headers.request_id, ""), read.error());
     return;
@@ -53,7 +53,7 @@
   sink.Refuse({.code = why.code,
                .config_version = version,
                .retry_after = kRetryAfter,
-               .fine_retry_after = true});
+               .fractional_retry_after = true});
 }
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/traffic_node.cc
+++ b/src/libsamphire/traffic/traffic_node.cc
@@ -239,16 +239,16 @@
   state_.leaving = true;
   RefreshEntryList();
   membership_.AnnounceLeaving();
-  caller_front_.SetPhase(front_phase::kLeaving);
+  caller_front_.SetPhase(front_phase::kNoKeepAlive);
   const auto bounds = state_.bounds();
   const auto deadline = requested_at + bounds->stop_grace - kStopMargin;
   const auto serve_until = std::min(
       requested_at + bounds->lookup_ttl + kLeavingPropagationTime, deadline);
   std::this_thread::sleep_until(serve_until);
-  caller_front_.SetPhase(front_phase::kTurningAway);
-  while (caller_front_.active() > 0 && clock_.now() < deadline)
+  caller_front_.SetPhase(front_phase::kRefusing);
+  while (caller_front_.active_requests() > 0 && clock_.now() < deadline)
     std::this_thread::sleep_for(kDrainPollInterval);
-  const int cut = caller_front_.active();
+  const int cut = caller_front_.active_requests();
   Log(cut > 0 ? log_level::kWarning : log_level::kInfo, "drained",
       {{"requests_cut", cut},
        {"seconds",
--- a/tests/gateway/region_choice_test.cc
+++ b/tests/gateway/region_choice_test.cc
@@ -4,7 +4,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "front/answer_writer.h"
+#include "front/response_writer.h"
 #include "gateway/header_copy.h"
 #include "gateway/note_reader.h"
 
@@ -45,11 +45,11 @@
 
 TEST_CASE("what one entry says of a request another entry reads") {
   Poco::Net::HTTPResponse head;
-  const answer_note note{.code = result_code::kQueueFull,
-                         .run = run_state::kNotRun,
-                         .config_version = 41,
-                         .retry_after = milliseconds(250)};
-  SetNoteHeaders(head, note);
+  const response_status note{.code = result_code::kQueueFull,
+                             .run = run_state::kNotRun,
+                             .config_version = 41,
+                             .retry_after = milliseconds(250)};
+  SetStatusHeaders(head, note);
   const auto read = ReadNote(head);
   REQUIRE(read);
   CHECK(read->code == note.code);
--- a/tests/platform_adapter/wire_target.cc
+++ b/tests/platform_adapter/wire_target.cc
@@ -67,7 +67,8 @@
       return;
     }
     const caller_watch entry(socket);
-    while (mood == target_mood::kHang && !entry.IsGone() && !target_.stopping)
+    while (mood == target_mood::kHang && !entry.IsDisconnected() &&
+           !target_.stopping)
       socket.poll(Poco::Timespan(kLookAgainUs),
                   Poco::Net::Socket::SELECT_ERROR);
     if (mood == target_mood::kHang) {
--- a/tests/proxy/body_reader_test.cc
+++ b/tests/proxy/body_reader_test.cc
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("whole bodies are read as they were sent") {
+TEST_CASE("complete bodies are read unchanged") {
   CHECK(ReadAll("0123456789rest", fixed_length_body{10}).body == "0123456789");
   const auto chunked =
       ReadAll("5\r\nhello\r\n1;x=y\r\n \r\n5\r\nworld\r\n0\r\nT: 1\r\n\r\n",
@@ -45,14 +45,14 @@
   CHECK(ReadAll("next answer", no_body{}).body.empty());
 }
 
-TEST_CASE("an answer cut short never looks whole") {
-  // A target dies in the middle of its answer and the connection closes. A
-  // dashboard that took the first half for the whole would show a level that
-  // nobody sent.
-  const std::string whole = "5\r\nhello\r\n5\r\nworld\r\n0\r\n\r\n";
-  for (std::size_t cut = 0; cut < whole.size(); ++cut) {
+TEST_CASE("a truncated response is never reported as complete") {
+  // A target crashes in the middle of its response and the connection closes. A
+  // dashboard that took the truncated body for the complete one would show a
+  // reading that was never sent.
+  const std::string complete = "5\r\nhello\r\n5\r\nworld\r\n0\r\n\r\n";
+  for (std::size_t cut = 0; cut < complete.size(); ++cut) {
     INFO("cut after " << cut << " bytes");
-    CHECK(ReadAll(whole.substr(0, cut), chunked_body{}).end ==
+    CHECK(ReadAll(complete.substr(0, cut), chunked_body{}).end ==
           result_code::kAnswerTruncated);
   }
   for (std::size_t cut = 0; cut < 10; ++cut) {
@@ -61,7 +61,7 @@
   }
 }
 
-TEST_CASE("nonsense chunk heads end the answer as truncated") {
+TEST_CASE("invalid chunk heads make the response truncated") {
   for (const auto* bytes : {"zz\r\nhello\r\n0\r\n\r\n", "\r\n", "-1\r\nx",
                             "5\r\nhelloXX5\r\nworld\r\n0\r\n\r\n",
                             "fffffffffffffffff\r\nx\r\n0\r\n\r\n"}) {
@@ -71,13 +71,15 @@
         result_code::kAnswerTruncated);
 }
 
-TEST_CASE("an answer whose end can't be told is refused") {
+TEST_CASE("a response with contradictory lengths is refused") {
   Poco::Net::HTTPResponse head;
-  CHECK(
-      std::holds_alternative<until_close_body>(FramingOf(head, false).value()));
+  CHECK(std::holds_alternative<until_close_body>(
+      ParseResponseFraming(head, false).value()));
   head.setContentLength(5);
   head.setChunkedTransferEncoding(true);
   head.set("Content-Length", "5");
-  CHECK(FramingOf(head, false).error().code == result_code::kTargetFailed);
-  CHECK(std::holds_alternative<no_body>(FramingOf(head, true).value()));
+  CHECK(ParseResponseFraming(head, false).error().code ==
+        result_code::kTargetFailed);
+  CHECK(std::holds_alternative<no_body>(
+      ParseResponseFraming(head, true).value()));
 }
--- a/tests/proxy/http_exchange_test.cc
+++ b/tests/proxy/http_exchange_test.cc
@@ -13,7 +13,8 @@
 
 namespace {
 
-// A target on a free port that serves its connections with a given routine.
+// Target on a free port that serves each of its connections in turn with the
+// routine given for it.
 class scripted_target {
  public:
   using routine = std::function<void(Poco::Net::StreamSocket&)>;
@@ -46,7 +47,7 @@
   }
 }
 
-void Answer(Poco::Net::StreamSocket& socket, const std::string& bytes) {
+void SendBytes(Poco::Net::StreamSocket& socket, const std::string& bytes) {
   socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
 }
 
@@ -56,32 +57,34 @@
   }
 }
 
-// A body that comes in the given pieces and then ends, or fails.
-class listed_pieces final : public body_source {
+// Body source that returns the given segments and then ends, or fails with
+// `end`.
+class scripted_body final : public body_source {
  public:
-  explicit listed_pieces(std::vector<std::string> pieces,
+  explicit scripted_body(std::vector<std::string> segments,
                          result_code end = result_code::kOk)
-      : pieces_(std::move(pieces)), end_(end) {}
+      : segments_(std::move(segments)), end_(end) {}
 
   result<std::size_t> Read(std::span<char> buffer) override {
-    if (next_ == pieces_.size()) {
+    if (next_ == segments_.size()) {
       if (end_ != result_code::kOk)
         return MakeError(end_);
       return std::size_t{0};
     }
-    const auto& piece = pieces_[next_++];
-    std::copy(piece.begin(), piece.end(), buffer.begin());
-    return piece.size();
+    const auto& segment = segments_[next_++];
+    std::copy(segment.begin(), segment.end(), buffer.begin());
+    return segment.size();
   }
 
  private:
-  const std::vector<std::string> pieces_;
+  const std::vector<std::string> segments_;
   const result_code end_;
   std::size_t next_ = 0;
 };
 
-// Everything that comes on a connection until nothing does for a while.
-std::string TakeAll(Poco::Net::StreamSocket& socket) {
+// Returns everything received on a connection until it has been quiet for
+// 100 ms or is closed.
+std::string ReadUntilQuiet(Poco::Net::StreamSocket& socket) {
   std::string seen;
   std::array<char, 4096> buffer{};
   while (socket.poll(Poco::Timespan(100'000), Poco::Net::Socket::SELECT_READ)) {
@@ -113,30 +116,30 @@
 
 }  // namespace
 
-// A target that gives no length and dies in the middle looks, to those who
-// take the close for the end, as if it had answered whole: half a level.
-TEST_CASE("an answer that only its close ends is refused unless asked for") {
+// A target that declares no length crashes in the middle of its response. If
+// the close were taken for the end, the truncated body would look complete.
+TEST_CASE("a response delimited only by close is refused by default") {
   scripted_target target({[](auto& socket) {
     ReadRequest(socket);
-    Answer(socket, "HTTP/1.1 200 OK\r\n\r\nhalf a le");
+    SendBytes(socket, "HTTP/1.1 200 OK\r\n\r\nhalf a le");
   }});
   connection_pool pool;
-  const caller_watch nobody;
-  http_exchange exchange(pool, target.address(), nobody,
+  const caller_watch no_caller;
+  http_exchange exchange(pool, target.address(), no_caller,
                          std::chrono::steady_clock::now() + 2s);
   REQUIRE(exchange.Connect(true));
   REQUIRE(exchange.Send(Get(), {}));
   CHECK(exchange.ReadHead().error().code == result_code::kAnswerTruncated);
 }
 
-TEST_CASE("an answer that its orderly close ends is whole where asked for") {
+TEST_CASE("a response delimited by an orderly close is complete if accepted") {
   scripted_target target({[](auto& socket) {
     ReadRequest(socket);
-    Answer(socket, "HTTP/1.1 200 OK\r\n\r\nthe level");
+    SendBytes(socket, "HTTP/1.1 200 OK\r\n\r\nthe level");
   }});
   connection_pool pool;
-  const caller_watch nobody;
-  http_exchange exchange(pool, target.address(), nobody,
+  const caller_watch no_caller;
+  http_exchange exchange(pool, target.address(), no_caller,
                          std::chrono::steady_clock::now() + 2s,
                          {.accept_unframed = true});
   REQUIRE(exchange.Connect(true));
@@ -145,19 +148,20 @@
   CHECK(ReadBody(exchange) == "the level");
 }
 
-// The target crashes while it answers without a length. The reset is the only
-// sign; a caller that got the part for the whole would act on half a level.
-TEST_CASE("an answer without length that a reset cuts is not whole") {
+// The target crashes while it sends a response without a length. The reset is
+// the only sign of that; without checking it, the caller would act on a
+// truncated reading.
+TEST_CASE("a response without length that ends with a reset is truncated") {
   scripted_target target({[](auto& socket) {
     ReadRequest(socket);
-    Answer(socket, "HTTP/1.1 200 OK\r\n\r\nhalf a le");
+    SendBytes(socket, "HTTP/1.1 200 OK\r\n\r\nhalf a le");
     std::this_thread::sleep_for(50ms);
     socket.setLinger(true, 0);
     socket.close();
   }});
   connection_pool pool;
-  const caller_watch nobody;
-  http_exchange exchange(pool, target.address(), nobody,
+  const caller_watch no_caller;
+  http_exchange exchange(pool, target.address(), no_caller,
                          std::chrono::steady_clock::now() + 2s,
                          {.accept_unframed = true});
   REQUIRE(exchange.Connect(true));
@@ -166,23 +170,23 @@
   CHECK(ReadBody(exchange) == NameOf(result_code::kTargetFailed));
 }
 
-// A target answers one request twice; the second answer arrives when the
-// connection already carries the next request, whose caller would get it.
-TEST_CASE("a late answer to an earlier request is passed over") {
+// A target responds to one request twice. The second response arrives when the
+// connection already carries the next request, whose caller would receive it.
+TEST_CASE("a late response to an earlier request is skipped") {
   scripted_target target({[](auto& socket) {
     ReadRequest(socket);
-    Answer(socket,
-           "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 5\r\n\r\nfirst");
+    SendBytes(socket,
+              "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 5\r\n\r\nfirst");
     ReadRequest(socket);
-    Answer(socket,
-           "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 5\r\n\r\nfirst"
-           "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 6\r\n\r\nsecond");
+    SendBytes(socket,
+              "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 5\r\n\r\nfirst"
+              "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 6\r\n\r\nsecond");
     AwaitClose(socket);
   }});
   connection_pool pool;
-  const caller_watch nobody;
+  const caller_watch no_caller;
   for (const std::string id : {"1", "2"}) {
-    http_exchange exchange(pool, target.address(), nobody,
+    http_exchange exchange(pool, target.address(), no_caller,
                            std::chrono::steady_clock::now() + 2s,
                            {.echo_header = "Id", .echo_value = id});
     REQUIRE(exchange.Connect(false));
@@ -190,89 +194,90 @@
     REQUIRE(exchange.ReadHead());
     CHECK(ReadBody(exchange) == (id == "1" ? "first" : "second"));
   }
-  pool.Forget(target.address());
+  pool.CloseIdle(target.address());
 }
 
-TEST_CASE("a connection is used again only after a whole answer") {
+TEST_CASE("a connection is reused after a complete response") {
   scripted_target target({[](auto& socket) {
     for (int i = 0; i < 2; ++i) {
       ReadRequest(socket);
-      Answer(socket, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" +
-                         std::to_string(i));
+      SendBytes(socket, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" +
+                            std::to_string(i));
     }
     AwaitClose(socket);
   }});
   connection_pool pool;
-  const caller_watch nobody;
+  const caller_watch no_caller;
   for (const auto* expected : {"0", "1"}) {
-    http_exchange exchange(pool, target.address(), nobody,
+    http_exchange exchange(pool, target.address(), no_caller,
                            std::chrono::steady_clock::now() + 10s);
     REQUIRE(exchange.Connect(false));
     REQUIRE(exchange.Send(Get(), ""));
     REQUIRE(exchange.ReadHead());
     CHECK(ReadBody(exchange) == expected);
   }
-  pool.Forget(target.address());
+  pool.CloseIdle(target.address());
 }
 
-TEST_CASE("a late answer never reaches the next request") {
-  // The first caller's deadline passes while the target still works. Its
-  // answer arrives later, on the same connection. If that connection served
-  // the next request, the next caller would be shown the first one's reading.
+TEST_CASE("a late response never reaches the next request") {
+  // The first caller's deadline passes while the target is still working, and
+  // the response arrives later on the same connection. If the connection were
+  // reused, the next caller would receive the first caller's reading.
   scripted_target target({[](auto& socket) {
                             ReadRequest(socket);
                             AwaitClose(socket);
                           },
                           [](auto& socket) {
                             ReadRequest(socket);
-                            Answer(socket,
-                                   "HTTP/1.1 200 OK\r\n"
-                                   "Content-Length: 6\r\n\r\nsecond");
+                            SendBytes(socket,
+                                      "HTTP/1.1 200 OK\r\n"
+                                      "Content-Length: 6\r\n\r\nsecond");
                             AwaitClose(socket);
                           }});
   connection_pool pool;
-  const caller_watch nobody;
+  const caller_watch no_caller;
   {
-    http_exchange first(pool, target.address(), nobody,
+    http_exchange first(pool, target.address(), no_caller,
                         std::chrono::steady_clock::now() + 30ms);
     REQUIRE(first.Connect(false));
     REQUIRE(first.Send(Get(), ""));
     CHECK(first.ReadHead().error().code == result_code::kDeadlineExceeded);
   }
   {
-    http_exchange second(pool, target.address(), nobody,
+    http_exchange second(pool, target.address(), no_caller,
                          std::chrono::steady_clock::now() + 10s);
     REQUIRE(second.Connect(false));
     REQUIRE(second.Send(Get(), ""));
     REQUIRE(second.ReadHead());
     CHECK(ReadBody(second) == "second");
   }
-  pool.Forget(target.address());
+  pool.CloseIdle(target.address());
 }
 
-TEST_CASE("surplus bytes after an answer close the connection") {
-  // A broken target sends more than it announced. The surplus would be read
-  // as the start of the next caller's answer.
+TEST_CASE("surplus bytes after a response close the connection") {
+  // A faulty target sends more than it declared. The surplus would be read as
+  // the start of the response to the next caller.
   scripted_target target({[](auto& socket) {
     ReadRequest(socket);
-    Answer(socket,
-           "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1HTTP/1.1 200 OK");
+    SendBytes(socket,
+              "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1HTTP/1.1 200 OK");
     AwaitClose(socket);
   }});
   connection_pool pool;
-  const caller_watch nobody;
-  http_exchange exchange(pool, target.address(), nobody,
+  const caller_watch no_caller;
+  http_exchange exchange(pool, target.address(), no_caller,
                          std::chrono::steady_clock::now() + 10s);
   REQUIRE(exchange.Connect(false));
   REQUIRE(exchange.Send(Get(), ""));
   REQUIRE(exchange.ReadHead());
   CHECK(ReadBody(exchange) == "1");
-  // The scripted target ends only when the connection is closed.
+  // The scripted target's thread ends only when the connection is closed.
 }
 
-TEST_CASE("a caller that goes away cancels the work at the target") {
-  // A technician closes the page while the target still computes. Unless the
-  // target's connection is closed too, its slot stays taken for nobody.
+TEST_CASE("a caller that disconnects cancels the work at the target") {
+  // A user closes the page while the target is still working. Unless the
+  // connection to the target is closed too, its slot stays occupied for
+  // nothing.
   scripted_target target({[](auto& socket) {
     ReadRequest(socket);
     AwaitClose(socket);
@@ -285,31 +290,31 @@
                          std::chrono::steady_clock::now() + 10s);
   REQUIRE(exchange.Connect(false));
   REQUIRE(exchange.Send(Get(), ""));
-  CHECK_FALSE(watch.IsGone());
+  CHECK_FALSE(watch.IsDisconnected());
   caller.close();
   CHECK(exchange.ReadHead().error().code == result_code::kCallerGone);
 }
 
-TEST_CASE("a long body is passed on as it comes, under a length or in chunks") {
+TEST_CASE("a long body is forwarded as it arrives, by length or in chunks") {
   const bool chunked = GENERATE(false, true);
   std::string seen;
   scripted_target target({[&](auto& socket) {
-    seen = TakeAll(socket);
-    Answer(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    seen = ReadUntilQuiet(socket);
+    SendBytes(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   }});
   connection_pool pool;
-  const caller_watch nobody;
+  const caller_watch no_caller;
   Poco::Net::HTTPRequest head("POST", "/x", "HTTP/1.1");
   if (chunked)
     head.setChunkedTransferEncoding(true);
   else
     head.setContentLength(15);
-  listed_pieces rest({" second", " third"});
+  scripted_body remainder({" second", " third"});
   {
-    http_exchange exchange(pool, target.address(), nobody,
+    http_exchange exchange(pool, target.address(), no_caller,
                            std::chrono::steady_clock::now() + 5s);
     REQUIRE(exchange.Connect(true));
-    REQUIRE(exchange.Send(head, "1.", &rest));
+    REQUIRE(exchange.Send(head, "1.", &remainder));
     REQUIRE(exchange.ReadHead());
   }
   const auto body = seen.substr(seen.find("\r\n\r\n") + 4);
@@ -317,21 +322,22 @@
                          : "1. second third"));
 }
 
-// A technician's link breaks in the middle of an upload. Ended as if it were
-// whole, half of it would be filed.
-TEST_CASE("a body that breaks off on its way never looks whole to a target") {
+// The caller's link breaks in the middle of an upload. If the forwarded body
+// were ended normally, the target would store a truncated upload.
+TEST_CASE("a truncated request body never looks complete to a target") {
   std::string seen;
-  scripted_target target({[&](auto& socket) { seen = TakeAll(socket); }});
+  scripted_target target(
+      {[&](auto& socket) { seen = ReadUntilQuiet(socket); }});
   connection_pool pool;
-  const caller_watch nobody;
+  const caller_watch no_caller;
   Poco::Net::HTTPRequest head("POST", "/x", "HTTP/1.1");
   head.setChunkedTransferEncoding(true);
-  listed_pieces rest({" second"}, result_code::kMalformedRequest);
+  scripted_body remainder({" second"}, result_code::kMalformedRequest);
   {
-    http_exchange exchange(pool, target.address(), nobody,
+    http_exchange exchange(pool, target.address(), no_caller,
                            std::chrono::steady_clock::now() + 5s);
     REQUIRE(exchange.Connect(true));
-    const auto sent = exchange.Send(head, "1.", &rest);
+    const auto sent = exchange.Send(head, "1.", &remainder);
     REQUIRE_FALSE(sent);
     CHECK(sent.error().code == result_code::kMalformedRequest);
   }
