--- a/bench/distribution.cc
+++ b/bench/distribution.cc
@@ -155,7 +155,8 @@
     points.emplace_back(cost.blocks, value(cost));
   const auto fit = FitLine(points);
   fmt::print("{}: {:.1f} + {:.3f} per 1000 blocks, worst residual {:.1f}%\n",
-             what, fit.start, fit.slope * 1000, fit.worst_residual * 100);
+             what, fit.intercept, fit.slope * 1000,
+             fit.max_relative_residual * 100);
 }
 
 bool MeasureSizes() {
@@ -282,7 +283,7 @@
   }
   const auto fit = FitLine(points);
   fmt::print("calls: {:.2f} + {:.4f} per follower, worst residual {:.1f}%\n",
-             fit.start, fit.slope, fit.worst_residual * 100);
+             fit.intercept, fit.slope, fit.max_relative_residual * 100);
   return points.front().second == points.back().second;
 }
 
--- a/bench/ledger.cc
+++ b/bench/ledger.cc
@@ -224,7 +224,7 @@
   fmt::print(
       R"({{"fit":"{}","slope":{:.3f},"start":{:.1f},"worst_residual":{:.2f}}})"
       "\n",
-      name, fit.slope, fit.start, fit.worst_residual);
+      name, fit.slope, fit.intercept, fit.max_relative_residual);
 }
 
 int Main() {
--- a/bench/line_fit.h
+++ b/bench/line_fit.h
@@ -8,14 +8,16 @@
 
 namespace samphire {
 
-// A straight line through points by least squares, and how far the points lie
-// from it at most, as a share of the largest value.
+// Result of a linear least-squares fit y = intercept + slope * x.
 struct line_fit {
   double slope = 0;
-  double start = 0;
-  double worst_residual = 0;
+  double intercept = 0;
+  // The largest distance of a point from the line, as a fraction of the largest
+  // absolute y value.
+  double max_relative_residual = 0;
 };
 
+// Fits a line to (x, y) points, of which at least two must differ in x.
 inline line_fit FitLine(std::span<const std::pair<double, double>> points) {
   double x_sum = 0;
   double y_sum = 0;
@@ -33,10 +35,11 @@
   line_fit fit;
   fit.slope =
       (count * xy_sum - x_sum * y_sum) / (count * xx_sum - x_sum * x_sum);
-  fit.start = (y_sum - fit.slope * x_sum) / count;
+  fit.intercept = (y_sum - fit.slope * x_sum) / count;
   for (const auto& [x, y] : points) {
-    const auto off = std::abs(y - fit.start - fit.slope * x);
-    fit.worst_residual = std::max(fit.worst_residual, off / largest);
+    const auto off = std::abs(y - fit.intercept - fit.slope * x);
+    fit.max_relative_residual =
+        std::max(fit.max_relative_residual, off / largest);
   }
   return fit;
 }
--- a/bench/lookup_snapshot.cc
+++ b/bench/lookup_snapshot.cc
@@ -216,9 +216,9 @@
   }
   const auto bytes = FitOf(all, &measurement::bytes);
   const auto build = FitOf(all, &measurement::build_seconds);
-  fmt::print("fit: bytes = {:.0f} + {:.2f} a block\n", bytes.start,
+  fmt::print("fit: bytes = {:.0f} + {:.2f} a block\n", bytes.intercept,
              bytes.slope);
-  fmt::print("fit: build = {:.3f} s + {:.0f} ns a block\n", build.start,
+  fmt::print("fit: build = {:.3f} s + {:.0f} ns a block\n", build.intercept,
              build.slope * 1e9);
   MeasureResponses();
   return all.back().bytes < kMaxBytesPerBlock * all.back().blocks &&
--- a/bench/membership.cc
+++ b/bench/membership.cc
@@ -216,7 +216,7 @@
     fmt::print(
         R"({{"fit":"{}","slope":{:.6f},"start":{:.4f},"worst_residual":{:.2f}}})"
         "\n",
-        name, fit.slope, fit.start, fit.worst_residual);
+        name, fit.slope, fit.intercept, fit.max_relative_residual);
   }
   return within_bounds ? 0 : 1;
 }
--- a/bench/read_declaration.cc
+++ b/bench/read_declaration.cc
@@ -1,7 +1,8 @@
-// Time and peak memory of reading a declaration at four numbers of client
-// blocks, with straight-line fits, then of refusing a file whose blocks are
-// all faulty. Fails when a block costs more memory than its bound, or when the
-// faulty file costs more than the sound one of the same length.
+// Measures the time and peak memory of reading a declaration with four
+// different numbers of client blocks, and fits a line to each. Then measures
+// the rejection of a file in which every block is invalid. Exits with an error
+// if the memory per block exceeds its bound, or if the invalid file needs more
+// memory than a valid one with the same number of blocks.
 //   bench_read_declaration --example=examples/consortium.json
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -24,21 +25,25 @@
 ABSL_FLAG(std::string,
           example,
           "examples/consortium.json",
-          "the declaration that blocks are added to");
+          "the declaration to which client blocks are added");
 
 namespace samphire {
 
 namespace {
 
-constexpr std::uint32_t kMostBlocks = 40'000;
+// The largest number of client blocks that are added to the example.
+constexpr std::uint32_t kMaxBlocks = 40'000;
+// Bound on the growth of peak memory per client block.
 constexpr double kMaxBytesPerBlock = 2048;
 
+// Returns the peak resident set size of this process.
 double PeakBytes() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   return static_cast<double>(usage.ru_maxrss) * 1024;
 }
 
+// Adds `count` IPv6 /48 blocks that do not overlap each other.
 declaration WithBlocks(declaration declared, std::uint32_t count) {
   for (std::uint32_t i = 0; i < count; ++i) {
     client_block block;
@@ -55,18 +60,21 @@
   return declared;
 }
 
-// Negative for a verdict that is not the expected one.
-double SecondsToRead(const std::string& text, bool sound) {
+// Returns the time taken to read `text`, or a negative value if the text was
+// accepted although `valid` is false, or rejected although it is true.
+double SecondsToRead(const std::string& text, bool valid) {
   const auto start = std::chrono::steady_clock::now();
   const auto read = ReadAcceptedDeclaration(text);
   const auto taken = std::chrono::steady_clock::now() - start;
-  if (read.has_value() != sound) {
-    fmt::print("unexpected verdict on the file\n");
+  if (read.has_value() != valid) {
+    fmt::print(
+        "declaration was accepted or rejected contrary to expectation\n");
     return -1;
   }
   return std::chrono::duration<double>(taken).count();
 }
 
+// Removes the required field `region` from every client block.
 std::string WithoutRegions(const std::string& text) {
   const std::string field = R"(,"region":)";
   const auto from = text.find("client_blocks");
@@ -84,7 +92,8 @@
   const auto example =
       ReadFileText(absl::GetFlag(FLAGS_example), kMaxJsonBytes);
   if (!example) {
-    fmt::print("can't read {}\n", absl::GetFlag(FLAGS_example));
+    fmt::print("cannot read the declaration {}\n",
+               absl::GetFlag(FLAGS_example));
     return false;
   }
   const auto declared = ReadAcceptedDeclaration(example.value()).value();
@@ -92,7 +101,7 @@
   std::vector<std::pair<double, double>> peaks;
   std::string largest;
   for (const auto divisor : {8U, 4U, 2U, 1U}) {
-    const auto blocks = kMostBlocks / divisor;
+    const auto blocks = kMaxBlocks / divisor;
     largest = WriteDeclaration(WithBlocks(declared, blocks));
     times.emplace_back(blocks, SecondsToRead(largest, true));
     peaks.emplace_back(blocks, PeakBytes());
@@ -100,19 +109,20 @@
         "blocks {:>6}  text {:>8} bytes  read {:.3f} s  peak {:.1f} MB\n",
         blocks, largest.size(), times.back().second, peaks.back().second / 1e6);
   }
-  const double sound_peak = PeakBytes();
+  const double valid_peak = PeakBytes();
   const double faulty_seconds = SecondsToRead(WithoutRegions(largest), false);
   fmt::print("every block faulty: refused in {:.3f} s, peak {:.1f} MB\n",
              faulty_seconds, PeakBytes() / 1e6);
   const line_fit time = FitLine(times);
   const line_fit peak = FitLine(peaks);
-  fmt::print("fit: read = {:.3f} s + {:.1f} us a block\n", time.start,
+  fmt::print("fit: read = {:.3f} s + {:.1f} us a block\n", time.intercept,
              time.slope * 1e6);
-  fmt::print("fit: peak = {:.1f} MB + {:.0f} bytes a block\n", peak.start / 1e6,
-             peak.slope);
-  // A tenth on top for what the allocator keeps from the runs before.
+  fmt::print("fit: peak = {:.1f} MB + {:.0f} bytes a block\n",
+             peak.intercept / 1e6, peak.slope);
+  // The allocator retains memory from earlier runs, so the peak may be a tenth
+  // higher.
   return faulty_seconds >= 0 && times.back().second >= 0 &&
-         peak.slope < kMaxBytesPerBlock && PeakBytes() < 1.1 * sound_peak;
+         peak.slope < kMaxBytesPerBlock && PeakBytes() < 1.1 * valid_peak;
 }
 
 }  // namespace
@@ -120,7 +130,8 @@
 }  // namespace samphire
 
 int main(int argc, char** argv) {
-  absl::SetProgramUsageMessage("Measures reading a declaration.");
+  absl::SetProgramUsageMessage(
+      "Measures the time and memory of reading a declaration.");
   absl::ParseCommandLine(argc, argv);
   return samphire::Run() ? 0 : 1;
 }
--- a/src/ctl/operator_client.cc
+++ b/src/ctl/operator_client.cc
@@ -115,7 +115,7 @@
   auto answer = Failed(call_failure::kNotSent, "no address given");
   for (const auto& url : urls_) {
     answer = CallOne(url, call);
-    if (!answer.failure && !InfoOf(answer.outcome.code).come_back)
+    if (!answer.failure && !InfoOf(answer.outcome.code).retryable)
       break;
   }
   return answer;
--- a/src/entry/operator/operator_handler.cc
+++ b/src/entry/operator/operator_handler.cc
@@ -57,7 +57,7 @@
       static_cast<Poco::Net::HTTPResponse::HTTPStatus>(info.http_status));
   response.set("Samphirewinch-Result",
                fmt::format("{} {}", static_cast<int>(info.code), info.name));
-  if (info.come_back)
+  if (info.retryable)
     response.set("Retry-After", kRetryAfterSeconds);
   response.setContentType("application/json");
   response.sendBuffer(body.data(), body.size());
--- a/src/libsamphire/base/pause_list.cc
+++ b/src/libsamphire/base/backoff_list.cc
@@ -1,13 +1,13 @@
-#include "base/pause_list.h"
+#include "base/backoff_list.h"
 
 namespace samphire {
 
-void pause_list::Pause(const std::string& name, time_point until) {
+void backoff_list::StartBackoff(const std::string& name, time_point until) {
   std::lock_guard guard(lock_);
   until_[name] = until;
 }
 
-bool pause_list::IsPaused(const std::string& name, time_point now) {
+bool backoff_list::IsBackingOff(const std::string& name, time_point now) {
   std::lock_guard guard(lock_);
   const auto found = until_.find(name);
   if (found == until_.end())
--- a/src/libsamphire/base/enum_names.h
+++ b/src/libsamphire/base/enum_names.h
@@ -9,11 +9,12 @@
 
 namespace samphire {
 
-// A table of the names of an enum class, the one place where they are written.
+// Maps the values of an enum class to their outer names. It is the only place
+// where these names are defined.
 template <typename E, std::size_t N>
 using enum_names = std::array<std::pair<E, std::string_view>, N>;
 
-// The name of `value`, or "?" for a value that the table lacks.
+// Returns the name of `value`, or "?" if the table does not contain it.
 template <typename E, std::size_t N>
 constexpr std::string_view NameOf(const enum_names<E, N>& names, E value) {
   for (const auto& [candidate, name] : names) {
@@ -23,6 +24,8 @@
   return "?";
 }
 
+// Returns the value called `name`, or nothing if there is none. The comparison
+// is case-sensitive.
 template <typename E, std::size_t N>
 constexpr std::optional<E> ValueOf(const enum_names<E, N>& names,
                                    std::string_view name) {
--- a/src/libsamphire/base/error.h
+++ b/src/libsamphire/base/error.h
@@ -7,12 +7,14 @@
 
 namespace samphire {
 
-// Why something was refused or failed.
+// Describes why an operation was refused or failed.
 struct error {
   result_code code = result_code::kOk;
-  // What an operator needs besides the code's meaning; never a secret.
+  // Details for an operator beyond the meaning of the code. Must not contain
+  // secrets.
   std::string detail;
-  // The JSON pointer of the value at fault, where a file is.
+  // The JSON pointer (RFC 6901) of the invalid value, if the error is about a
+  // JSON document; otherwise empty.
   std::string pointer;
 };
 
--- a/src/libsamphire/base/log.cc
+++ b/src/libsamphire/base/log.cc
@@ -13,20 +13,22 @@
 #include <mutex>
 #include <utility>
 
-#include "base/line_budget.h"
+#include "base/log_rate_limiter.h"
 #include "base/utf8.h"
 
 namespace samphire {
 
 namespace {
 
-constexpr std::string_view kUnreadable = "\\ufffd";
+// JSON escape of U+FFFD, written for bytes that are not valid UTF-8.
+constexpr std::string_view kReplacementCharacter = "\\ufffd";
 
+// State of the log; all but `min_level` is guarded by `lock`.
 struct log_settings {
   std::mutex lock;
   std::string instance = "\"\"";
-  std::atomic<log_level> lowest = log_level::kInfo;
-  line_budget budget;
+  std::atomic<log_level> min_level = log_level::kInfo;
+  log_rate_limiter rate_limiter;
 };
 
 log_settings& Settings() {
@@ -34,18 +36,20 @@
   return settings;
 }
 
-// A caller's path or a broken entry may be long; a line must fit the pipe in
-// one piece, and this much shows what is wrong.
-constexpr std::size_t kMaxText = 600;
+// Bounds the logged bytes of one text field. A request path or a corrupt stored
+// object may be long, but a line must fit into one atomic pipe write; a prefix
+// of this length suffices for diagnosis.
+constexpr std::size_t kMaxTextBytes = 600;
 
+// Appends the value of a field as JSON.
 struct value_writer {
   fmt::memory_buffer& out;
 
   void operator()(std::string_view text) const {
     fmt::format_to(std::back_inserter(out), "{}",
-                   JsonQuote(text.substr(0, kMaxText)));
+                   JsonQuote(text.substr(0, kMaxTextBytes)));
   }
-  // JSON has no name for what is no number.
+  // JSON cannot represent infinity or NaN.
   void operator()(double number) const {
     if (std::isfinite(number))
       fmt::format_to(std::back_inserter(out), "{}", number);
@@ -58,10 +62,11 @@
   }
 };
 
-// A reader that stops reading fills the pipe; a write to it would then hold up
-// requests for as long as it likes. A line is short enough to be written whole
-// where there is room at all, so it is written or dropped.
-bool HasRoom(int descriptor) {
+// Returns whether a write to `descriptor` would not block. If the reader of the
+// pipe stalls, the pipe fills up and a blocking write would delay requests
+// indefinitely. A line is at most PIPE_BUF bytes, so whenever the pipe is
+// writable it is written whole; otherwise it is dropped.
+bool IsWritable(int descriptor) {
   pollfd entry{descriptor, POLLOUT, 0};
   return poll(&entry, 1, 0) > 0 && (entry.revents & POLLOUT) != 0;
 }
@@ -85,22 +90,22 @@
   }
   line.push_back('}');
   line.push_back('\n');
-  if (line.size() > PIPE_BUF || !HasRoom(STDOUT_FILENO) ||
+  if (line.size() > PIPE_BUF || !IsWritable(STDOUT_FILENO) ||
       write(STDOUT_FILENO, line.data(), line.size()) < 0)
-    settings.budget.CountDropped();
+    settings.rate_limiter.CountDropped();
 }
 
 }  // namespace
 
-void ConfigureLog(std::string_view instance, log_level lowest) {
+void ConfigureLog(std::string_view instance, log_level min_level) {
   auto& settings = Settings();
   std::lock_guard guard(settings.lock);
   settings.instance = JsonQuote(instance);
-  settings.lowest = lowest;
+  settings.min_level = min_level;
 }
 
 bool LogEnabled(log_level level) {
-  return level >= Settings().lowest.load(std::memory_order_relaxed);
+  return level >= Settings().min_level.load(std::memory_order_relaxed);
 }
 
 void Log(log_level level,
@@ -111,9 +116,10 @@
   auto& settings = Settings();
   std::lock_guard guard(settings.lock);
   const auto now = std::chrono::steady_clock::now();
-  if (!settings.budget.Take(level, now))
+  if (!settings.rate_limiter.TryAcquire(level, now))
     return;
-  if (const auto dropped = settings.budget.TakeDropped(); dropped > 0) {
+  if (const auto dropped = settings.rate_limiter.TakeDroppedCount();
+      dropped > 0) {
     const auto count = static_cast<std::int64_t>(dropped);
     WriteLine(settings, log_level::kWarning, "log-lines-dropped",
               {{"lines", count}});
@@ -121,8 +127,8 @@
   WriteLine(settings, level, event, fields);
 }
 
-// Bytes of an entry or a header that are no UTF-8 would make the whole line
-// unreadable to those who parse it.
+// Invalid UTF-8 from a stored object or a request header would make the whole
+// line unreadable for JSON parsers, so each invalid byte is replaced.
 std::string JsonQuote(std::string_view text) {
   std::string quoted = "\"";
   for (std::size_t at = 0; at < text.size(); ++at) {
@@ -135,8 +141,8 @@
     } else if (static_cast<unsigned char>(c) < 0x80) {
       quoted += c;
     } else {
-      const auto length = Utf8Length(text.substr(at));
-      quoted += length == 0 ? kUnreadable : text.substr(at, length);
+      const auto length = Utf8SequenceLength(text.substr(at));
+      quoted += length == 0 ? kReplacementCharacter : text.substr(at, length);
       at += std::max<std::size_t>(length, 1) - 1;
     }
   }
--- a/src/libsamphire/base/log.h
+++ b/src/libsamphire/base/log.h
@@ -11,7 +11,8 @@
 
 namespace samphire {
 
-// One named value of a log line.
+// A named value of a log line. Refers to the name and to a text value, which
+// must outlive the call of Log().
 struct log_field {
   std::string_view name;
   std::variant<std::string_view, std::int64_t, double, bool> value;
@@ -28,18 +29,22 @@
       : name(n), value(static_cast<std::int64_t>(v)) {}
 };
 
-// Sets what every line of this process carries and the lowest level written.
-void ConfigureLog(std::string_view instance, log_level lowest);
+// Sets the instance name written on every line of this process and the lowest
+// level that is written. Thread-safe, as are all functions here.
+void ConfigureLog(std::string_view instance, log_level min_level);
+// Returns whether lines of this level are written at all; takes no lock.
 bool LogEnabled(log_level level);
 
-// Writes one JSON line to standard output: time, level, instance, event, then
-// the fields. Lines of several threads never mix. Never waits: a line that
-// there is no room or budget for is dropped and counted.
+// Writes one JSON line to standard output: time (UTC), level, instance, event,
+// then the fields. Lines of concurrent threads do not interleave. Does not
+// block on output: a line that exceeds the rate limit, that is longer than
+// PIPE_BUF, or for which the output has no space is dropped and counted.
 void Log(log_level level,
          std::string_view event,
          std::initializer_list<log_field> fields = {});
 
-// `text` as a JSON string with its quotes.
+// Returns `text` as a quoted JSON string. Escapes control characters and
+// replaces each byte that is not valid UTF-8 by U+FFFD.
 std::string JsonQuote(std::string_view text);
 
 }  // namespace samphire
--- a/src/libsamphire/base/log_level.h
+++ b/src/libsamphire/base/log_level.h
@@ -5,6 +5,7 @@
 
 namespace samphire {
 
+// Severity of a log line, in increasing order.
 enum class log_level { kDebug, kInfo, kWarning, kError };
 
 inline constexpr enum_names<log_level, 4> kLogLevelNames{{
--- a/src/libsamphire/base/result.h
+++ b/src/libsamphire/base/result.h
@@ -10,19 +10,22 @@
 
 namespace samphire {
 
-// A value or the reason why there is none. Reading the wrong one throws.
+// Holds a value, or the error that explains why there is none. Reading the one
+// that is not present throws.
 template <typename T>
 using result = BOOST_OUTCOME_V2_NAMESPACE::basic_result<
     T,
     error,
     BOOST_OUTCOME_V2_NAMESPACE::policy::throw_bad_result_access<error, void>>;
 
+// Builds an error from a code, an operator-facing detail and a JSON pointer.
 inline error MakeError(result_code code,
                        std::string detail = {},
                        std::string pointer = {}) {
   return error{code, std::move(detail), std::move(pointer)};
 }
 
+// Returns the success value of result<void>.
 inline auto Success() {
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
--- a/src/libsamphire/base/result_code.h
+++ b/src/libsamphire/base/result_code.h
@@ -7,12 +7,12 @@
 
 namespace samphire {
 
-// Every outcome that a caller, an operator or another process is told.
-// Numbers are a contract: they are never given a new meaning.
+// Outcomes reported to callers, operators and other processes. The numbers are
+// part of the public interface and are never reused with another meaning.
 enum class result_code : int {
   kOk = 0,
 
-  // 10xx: a file could not be read as JSON of the right shape.
+  // 10xx: a file cannot be read as JSON that conforms to its schema.
   kFileUnreadable = 1001,
   kFileEmpty = 1002,
   kFileTooLarge = 1003,
@@ -23,7 +23,7 @@
   kSchemaViolation = 1008,
   kUnknownField = 1009,
 
-  // 11xx: a declaration is of the right shape but means nothing sound.
+  // 11xx: a declaration conforms to the schema but is semantically invalid.
   kDuplicateName = 1101,
   kUnknownRegion = 1102,
   kUnknownFailureDomain = 1103,
@@ -39,7 +39,7 @@
   kAmbiguousClass = 1113,
   kServiceWithoutTargets = 1114,
 
-  // 20xx: the request itself is wrong; it did not run.
+  // 20xx: the request itself is invalid; it did not run.
   kMalformedRequest = 2001,
   kHeaderTooLarge = 2002,
   kBodyTooLarge = 2003,
@@ -52,7 +52,8 @@
   kBadClientAddress = 2010,
   kUnknownApiKey = 2011,
 
-  // 21xx: refused under load or in a fault; it did not run, come back later.
+  // 21xx: refused because of load or a failure; the request did not run and may
+  // be retried later.
   kQueueFull = 2101,
   kDeadlineUnreachable = 2102,
   kShedByPriority = 2103,
@@ -70,7 +71,7 @@
   kNoCommonRegion = 2115,
   kTeamLimitReached = 2116,
 
-  // 22xx: the request was dispatched and no whole answer came of it.
+  // 22xx: the request was dispatched, but no complete response was received.
   kTargetUnreachable = 2201,
   kTargetFailed = 2202,
   kDeadlineExceeded = 2203,
@@ -79,7 +80,7 @@
   kPeerLost = 2206,
   kTargetShedding = 2207,
 
-  // 23xx: requests that may run once at most.
+  // 23xx: requests with at-most-once semantics.
   kLedgerUnavailable = 2301,
   kReservationInProgress = 2302,
   kOutcomeUnknown = 2303,
@@ -88,7 +89,7 @@
   kLedgerFull = 2306,
   kAnswerTooLargeToRecord = 2307,
 
-  // 30xx: the platform's object API.
+  // 30xx: calls to the object API of the platform, the external store.
   kStoreUnreachable = 3001,
   kStoreOutcomeUnknown = 3002,
   kStoreConflict = 3003,
@@ -97,7 +98,7 @@
   kStoreValueTooLarge = 3006,
   kStoreCorrupt = 3007,
 
-  // 40xx: messages between the system's own processes.
+  // 40xx: messages between processes of this system.
   kPeerBadDigest = 4001,
   kPeerReplayed = 4002,
   kPeerMalformed = 4003,
@@ -121,20 +122,27 @@
   kRequestNotLogged = 5013,
 };
 
-// What the table says of a code.
+// The table entry of a result code.
 struct result_code_info {
   result_code code;
+  // The name used on the wire, in logs and in metrics.
   std::string_view name;
-  // The status that a caller over HTTP sees.
+  // The HTTP status sent to the caller.
   int http_status;
-  // Whether the same request may succeed later, so that Retry-After is sent.
-  bool come_back;
+  // Whether the same request may succeed later. If so, the response carries a
+  // Retry-After header.
+  bool retryable;
+  // One sentence that explains the code to callers and operators.
   std::string_view meaning;
 };
 
+// Returns the entries of all codes, ordered by number.
 std::span<const result_code_info> ResultCodeTable();
+// Returns the entry of `code`, or that of kOk if the table lacks it.
 const result_code_info& InfoOf(result_code code);
+// Returns the outer name of `code`, such as "queue-full".
 std::string_view NameOf(result_code code);
+// Returns the code with this number, or nothing if there is none.
 std::optional<result_code> ResultCodeOf(int number);
 
 }  // namespace samphire
--- a/src/libsamphire/base/sharded.h
+++ b/src/libsamphire/base/sharded.h
@@ -9,12 +9,14 @@
 
 namespace samphire {
 
-// State split into shards by key, each under a lock of its own, so that
-// threads working on different keys seldom meet.
+// State partitioned into `N` shards by the hash of a key. Each shard has its
+// own lock, which reduces contention between threads that work on different
+// keys. Thread-safe.
 template <typename T, std::size_t N = 16>
 class sharded {
  public:
-  // Runs `visit` on the shard of `key`, under its lock.
+  // Calls `visit` with the shard of `key` while holding its lock, and returns
+  // the result. `visit` must not access this object.
   template <typename F>
   auto With(std::string_view key, F&& visit) {
     auto& shard = shards_[std::hash<std::string_view>{}(key) % N];
@@ -22,7 +24,8 @@
     return std::forward<F>(visit)(shard.state);
   }
 
-  // Runs `visit` on every shard in turn, each under its lock.
+  // Calls `visit` with each shard in turn while holding the lock of that shard,
+  // so the shards are not observed at one point in time.
   template <typename F>
   void ForEach(F&& visit) {
     for (auto& shard : shards_) {
@@ -32,6 +35,7 @@
   }
 
  private:
+  // Aligned to a cache line of 64 bytes to avoid false sharing.
   struct alignas(64) shard_type {
     std::mutex lock;
     T state;
--- a/src/libsamphire/base/signal_block.h
+++ b/src/libsamphire/base/signal_block.h
@@ -6,9 +6,9 @@
 
 namespace samphire {
 
-// Blocks signals in this thread and in those that it starts from now on, so
-// that they reach a sigwait for the returned set and nothing else. Called
-// before the first thread starts.
+// Blocks `signals` in the calling thread and in all threads that it creates
+// later, so that they are delivered only through sigwait() on the returned set.
+// Must be called before the first thread is created.
 sigset_t BlockSignals(std::initializer_list<int> signals);
 
 }  // namespace samphire
--- a/src/libsamphire/base/stoppable_thread.h
+++ b/src/libsamphire/base/stoppable_thread.h
@@ -10,19 +10,23 @@
 
 namespace samphire {
 
-// A thread that runs one step again and again, waits between the steps as long
-// as each says, and can be woken or stopped.
+// A thread that repeatedly runs a step function and waits between two steps for
+// the time that the step returned. Start() may be called once; Wake() may be
+// called from any thread, Stop() from any thread but the one started here.
 class stoppable_thread {
  public:
-  // Does one step and returns how long to wait before the next.
+  // Runs one step and returns the time to wait before the next one.
   using step = std::function<duration()>;
 
   ~stoppable_thread() { Stop(); }
 
+  // Starts the thread, which runs the first step immediately.
   void Start(step run);
-  // Has the next step run at once.
+  // Makes the next step run without waiting. A call during a step has the same
+  // effect, so no wake-up is lost.
   void Wake();
-  // Returns when the step that runs has ended.
+  // Stops the thread and returns after any step in progress has finished. Does
+  // nothing if the thread is not running.
   void Stop();
 
  private:
--- a/src/libsamphire/base/system_clock_source.h
+++ b/src/libsamphire/base/system_clock_source.h
@@ -5,7 +5,7 @@
 
 namespace samphire {
 
-// The machine's clocks.
+// Reads the clocks of the operating system. Thread-safe.
 class system_clock_source final : public clock_source {
  public:
   time_point now() const override { return std::chrono::steady_clock::now(); }
--- a/src/libsamphire/base/utf8.h
+++ b/src/libsamphire/base/utf8.h
@@ -6,8 +6,9 @@
 
 namespace samphire {
 
-// The bytes of the character that the text begins with; 0 if it is none.
-std::size_t Utf8Length(std::string_view text);
+// Returns the number of bytes, 1 to 4, of the UTF-8 sequence at the start of
+// `text`, or 0 if `text` is empty or does not start with a valid one.
+std::size_t Utf8SequenceLength(std::string_view text);
 
 }  // namespace samphire
 
--- a/src/libsamphire/config/class_matcher.h
+++ b/src/libsamphire/config/class_matcher.h
@@ -7,14 +7,15 @@
 
 namespace samphire {
 
-// The most specific class of `declared` that matches; none for a path that
-// could be read in two ways. `path` is below the service, as it was sent; a
-// query is passed over.
+// Returns the most specific class of `declared` that matches a request, or
+// nullptr if none matches or if the path is ambiguous, such as one with empty,
+// dot or encoded-slash segments. `path` is relative to the service and encoded
+// as received; its query is ignored. The result points into `declared`.
 const request_class* MatchClass(const service& declared,
                                 std::string_view method,
                                 std::string_view path);
 
-// Whether `path` can be a class's path.
+// Returns whether `path` is valid as the path pattern of a class.
 bool IsClassPath(std::string_view path);
 
 }  // namespace samphire
--- a/src/libsamphire/config/client_block.h
+++ b/src/libsamphire/config/client_block.h
@@ -7,12 +7,14 @@
 
 namespace samphire {
 
-// A block of caller addresses and the region they belong to.
+// A block of caller addresses (CIDR) and the region that these callers belong
+// to.
 struct client_block {
-  // IPv6, or IPv4 mapped into it, in network byte order.
+  // An IPv6 or IPv4-mapped IPv6 address in network byte order.
   std::array<std::uint8_t, 16> address{};
-  // Counted in the 128-bit form: an IPv4 /8 is 104.
+  // Number of prefix bits in the 128-bit form: an IPv4 /8 is stored as 104.
   std::uint8_t prefix_length = 0;
+  // The name of the region.
   std::string region;
 
   bool operator==(const client_block&) const = default;
--- a/src/libsamphire/config/client_block_text.cc
+++ b/src/libsamphire/config/client_block_text.cc
@@ -10,9 +10,10 @@
 
 namespace {
 
-// A block such as 10.0.0.7/8 is most likely a typing error in one of its two
-// halves; which one, nobody can tell, so it is refused instead of cut.
-bool HasBitsBelow(const ip_address& address, int prefix_length) {
+// Returns whether bits after the prefix are set. A block such as 10.0.0.7/8
+// most likely has a typing error in its address or in its length. Which of them
+// is wrong cannot be determined, so the block is refused instead of masked.
+bool HasHostBits(const ip_address& address, int prefix_length) {
   for (int bit = prefix_length; bit < kIpAddressBits; ++bit) {
     if ((address[bit / 8] >> (7 - bit % 8) & 1) != 0)
       return true;
@@ -34,21 +35,21 @@
   if (!address || failure != std::errc() ||
       end != digits.data() + digits.size() || length < 0)
     return std::nullopt;
-  const bool dotted = text.find(':') == std::string_view::npos;
-  const int full_length = dotted ? length + kMappedPrefixBits : length;
-  if (full_length > kIpAddressBits || HasBitsBelow(*address, full_length))
+  const bool is_ipv4 = text.find(':') == std::string_view::npos;
+  const int mapped_length = is_ipv4 ? length + kMappedPrefixBits : length;
+  if (mapped_length > kIpAddressBits || HasHostBits(*address, mapped_length))
     return std::nullopt;
   client_block block;
   block.address = *address;
-  block.prefix_length = static_cast<std::uint8_t>(full_length);
+  block.prefix_length = static_cast<std::uint8_t>(mapped_length);
   return block;
 }
 
 std::string FormatClientBlock(const client_block& block) {
-  const bool dotted =
+  const bool is_ipv4 =
       IsMappedIpv4(block.address) && block.prefix_length >= kMappedPrefixBits;
   return fmt::format("{}/{}", FormatIpAddress(block.address),
-                     block.prefix_length - (dotted ? kMappedPrefixBits : 0));
+                     block.prefix_length - (is_ipv4 ? kMappedPrefixBits : 0));
 }
 
 }  // namespace samphire
--- a/src/libsamphire/config/client_block_text.h
+++ b/src/libsamphire/config/client_block_text.h
@@ -9,9 +9,10 @@
 
 namespace samphire {
 
-// Reads "ADDRESS/LENGTH"; nothing if it is not one or if bits are set below
-// the prefix.
+// Parses "ADDRESS/LENGTH". Returns nothing if the text is malformed or if bits
+// after the prefix are set. The region of the result is empty.
 std::optional<client_block> ParseClientBlock(std::string_view text);
+// Returns the block as "ADDRESS/LENGTH", which ParseClientBlock() accepts.
 std::string FormatClientBlock(const client_block& block);
 
 }  // namespace samphire
--- a/src/libsamphire/config/declaration.h
+++ b/src/libsamphire/config/declaration.h
@@ -14,13 +14,14 @@
 
 namespace samphire {
 
-// What the operators declare: applied as a whole or not at all.
+// The configuration of a deployment as declared by its operators. It is applied
+// atomically: as a whole or not at all.
 struct declaration {
   std::string name;
   std::vector<region> regions;
   std::vector<region_latency> latencies;
   std::vector<client_block> client_blocks;
-  // Where callers in no block belong.
+  // The region of callers whose address is in none of the client blocks.
   std::string default_region;
   std::vector<service> services;
   std::vector<shift_cap> shift_caps;
--- a/src/libsamphire/config/declaration_checker.cc
+++ b/src/libsamphire/config/declaration_checker.cc
@@ -14,17 +14,21 @@
 
 namespace {
 
-using check = result<void> (*)(const declaration&, const declaration_names&);
-
-// Regions come first: what refers to a wrong one is judged by the right ones.
-constexpr std::array<check, 6> kChecks{CheckRegionNames,  CheckLatencies,
-                                       CheckServices,     CheckShiftCaps,
-                                       CheckClientBlocks, CheckDrains};
-
-bool IsInForce(const drain& declared, const declaration* in_force) {
-  return in_force != nullptr &&
-         std::find(in_force->drains.begin(), in_force->drains.end(),
-                   declared) != in_force->drains.end();
+// Checks one aspect of a declaration against the names it declares.
+using declaration_check = result<void> (*)(const declaration&,
+                                           const declaration_names&);
+
+// The checks in order. Regions come first, because the later checks resolve
+// references against the declared regions.
+constexpr std::array<declaration_check, 6> kChecks{
+    CheckRegionNames, CheckLatencies,    CheckServices,
+    CheckShiftCaps,   CheckClientBlocks, CheckDrains};
+
+// Returns whether the active declaration contains an equal drain.
+bool IsActive(const drain& declared, const declaration* active) {
+  return active != nullptr &&
+         std::find(active->drains.begin(), active->drains.end(), declared) !=
+             active->drains.end();
 }
 
 }  // namespace
@@ -37,18 +41,20 @@
   return Success();
 }
 
-// A drain whose deadline has passed would cut everything at once: most likely
-// last month's file. One that is in force already stays allowed, or no other
-// change could be applied between a drain's deadline and its removal.
+// A new drain whose deadline has passed would cut all affected work at once;
+// most likely an outdated file, such as last month's, was applied by mistake. A
+// drain that is already active stays valid, since otherwise no other change
+// could be applied between the deadline of a drain and its removal.
 result<void> CheckNewDrains(const declaration& declared,
                             wall_time now,
-                            const declaration* in_force) {
+                            const declaration* active) {
   for (std::size_t i = 0; i < declared.drains.size(); ++i) {
     const auto& one = declared.drains[i];
-    if (one.deadline <= now && !IsInForce(one, in_force)) {
-      return MakeError(result_code::kDrainInPast,
-                       "passed at " + FormatWallTime(one.deadline),
-                       fmt::format("/drains/{}/deadline", i));
+    if (one.deadline <= now && !IsActive(one, active)) {
+      return MakeError(
+          result_code::kDrainInPast,
+          "the drain's deadline passed at " + FormatWallTime(one.deadline),
+          fmt::format("/drains/{}/deadline", i));
     }
   }
   return Success();
--- a/src/libsamphire/config/declaration_checker.h
+++ b/src/libsamphire/config/declaration_checker.h
@@ -7,14 +7,17 @@
 
 namespace samphire {
 
-// Whether what the declaration names exists and makes sense together. The
-// error holds the JSON pointer of the first thing that doesn't.
+// Checks that all names a declaration refers to are declared and that its
+// values are consistent. The error holds the JSON pointer of the first invalid
+// value.
 result<void> CheckDeclaration(const declaration& declared);
 
-// Whether every drain that is not equally in `in_force` still lies ahead.
+// Checks that the deadline of every drain is after `now`, except for drains
+// that `active`, the declaration in effect, contains unchanged. `active` may be
+// nullptr. Fails with kDrainInPast.
 result<void> CheckNewDrains(const declaration& declared,
                             wall_time now,
-                            const declaration* in_force);
+                            const declaration* active);
 
 }  // namespace samphire
 
--- a/src/libsamphire/config/declaration_names.h
+++ b/src/libsamphire/config/declaration_names.h
@@ -8,11 +8,11 @@
 
 namespace samphire {
 
-// What a declaration declares by name, for checks of what it refers to.
+// The names that a declaration defines, used to check its references.
 struct declaration_names {
   std::set<std::string> regions;
   std::set<std::string> failure_domains;
-  // "SERVICE/TARGET".
+  // Each in the form "SERVICE/TARGET".
   std::set<std::string> targets;
 
   explicit declaration_names(const declaration& declared);
--- a/src/libsamphire/config/declaration_parts_reader.cc
+++ b/src/libsamphire/config/declaration_parts_reader.cc
@@ -35,23 +35,24 @@
   return read;
 }
 
-// A drain must say when: one that starts "now" would start at another moment
-// on each entry, and one without an end would hold a stop up for ever.
-result<void> ReadTime(const Object& json,
-                      const std::string& name,
-                      const std::string& pointer,
-                      wall_time& into) {
+// Reads a required time of a drain. Both times are mandatory: a drain that
+// started "now" would start at a different moment on each entry, and one
+// without a deadline could delay a shutdown indefinitely.
+result<void> ReadDrainTime(const Object& json,
+                           const std::string& name,
+                           const std::string& pointer,
+                           wall_time& destination) {
   if (!json.has(name)) {
-    return MakeError(result_code::kDrainWithoutTime, name + " is missing",
-                     pointer);
+    return MakeError(result_code::kDrainWithoutTime,
+                     name + " is required in a drain", pointer);
   }
   const auto time = ParseWallTime(FieldOf<std::string>(json, name));
   if (!time) {
     return MakeError(result_code::kSchemaViolation,
-                     "not a UTC time such as 2026-12-02T08:30:00Z",
+                     "expected a UTC time such as 2026-12-02T08:30:00Z",
                      pointer + "/" + name);
   }
-  into = *time;
+  destination = *time;
   return Success();
 }
 
@@ -60,8 +61,8 @@
 result<region> ReadRegion(const Object& json, const std::string&) {
   region read;
   read.name = FieldOf<std::string>(json, "name");
-  read.failure_domains = TextsOf(json, "failure_domains");
-  read.seats = FieldOf<Poco::UInt32>(json, "seats");
+  read.failure_domains = StringsOf(json, "failure_domains");
+  read.partition_count = FieldOf<Poco::UInt32>(json, "seats");
   return read;
 }
 
@@ -109,8 +110,8 @@
   read.name = FieldOf<std::string>(json, "name");
   read.scope = EnumOf(json, "scope", kDrainScopeNames, read.scope);
   read.subject = FieldOf<std::string>(json, "subject");
-  BOOST_OUTCOME_TRYV(ReadTime(json, "starts_at", pointer, read.starts_at));
-  BOOST_OUTCOME_TRYV(ReadTime(json, "deadline", pointer, read.deadline));
+  BOOST_OUTCOME_TRYV(ReadDrainTime(json, "starts_at", pointer, read.starts_at));
+  BOOST_OUTCOME_TRYV(ReadDrainTime(json, "deadline", pointer, read.deadline));
   return read;
 }
 
--- a/src/libsamphire/config/declaration_parts_reader.h
+++ b/src/libsamphire/config/declaration_parts_reader.h
@@ -16,8 +16,9 @@
 
 namespace samphire {
 
-// Each takes an object that the schema has found to be of the right shape and
-// the pointer to it, for the errors that a schema can't express.
+// Readers for the parts of a declaration. Each takes an object that has passed
+// schema validation, and its JSON pointer, which is used in the errors that the
+// schema cannot express. Optional fields that are absent get their defaults.
 result<region> ReadRegion(const Poco::JSON::Object& json,
                           const std::string& pointer);
 result<region_latency> ReadRegionLatency(const Poco::JSON::Object& json,
--- a/src/libsamphire/config/declaration_reader.cc
+++ b/src/libsamphire/config/declaration_reader.cc
@@ -13,7 +13,8 @@
 
 using Poco::JSON::Object;
 
-result<declaration> ReadWhole(const Object& json) {
+// Reads a declaration from an object that has passed schema validation.
+result<declaration> ReadDeclarationObject(const Object& json) {
   declaration read;
   read.name = FieldOf<std::string>(json, "name");
   read.default_region = FieldOf<std::string>(json, "default_region");
@@ -33,28 +34,30 @@
   return read;
 }
 
-result<declaration> ReadShape(std::string_view text) {
+// Parses the text and validates it against the schema, without checking
+// references and consistency.
+result<declaration> ReadAndValidate(std::string_view text) {
   BOOST_OUTCOME_TRY(value, ReadJsonText(text));
   BOOST_OUTCOME_TRYV(ValidateBySchema(value, kDeclarationSchema));
-  return ReadWhole(*value);
+  return ReadDeclarationObject(*value);
 }
 
 }  // namespace
 
 result<declaration> ReadDeclaration(std::string_view text,
                                     wall_time now,
-                                    const declaration* in_force) {
-  BOOST_OUTCOME_TRY(read, ReadShape(text));
+                                    const declaration* active) {
+  BOOST_OUTCOME_TRY(read, ReadAndValidate(text));
   BOOST_OUTCOME_TRYV(CheckDeclaration(read));
-  BOOST_OUTCOME_TRYV(CheckNewDrains(read, now, in_force));
+  BOOST_OUTCOME_TRYV(CheckNewDrains(read, now, active));
   return read;
 }
 
-// Were a passed drain refused here as well, a declaration in force would stop
-// being readable at the drain's deadline: an entry replaced a minute later
-// could not start.
+// Expired drains are allowed here. Otherwise an active declaration would become
+// unreadable at the deadline of its drain, and an entry that is replaced a
+// minute later could not start.
 result<declaration> ReadAcceptedDeclaration(std::string_view text) {
-  BOOST_OUTCOME_TRY(read, ReadShape(text));
+  BOOST_OUTCOME_TRY(read, ReadAndValidate(text));
   BOOST_OUTCOME_TRYV(CheckDeclaration(read));
   return read;
 }
--- a/src/libsamphire/config/declaration_reader.h
+++ b/src/libsamphire/config/declaration_reader.h
@@ -9,18 +9,20 @@
 
 namespace samphire {
 
-// Reads what an operator wants to bring into force and checks it as a whole.
-// Drains that are equally in `in_force` may have passed.
+// Reads and checks a declaration that an operator submits. Drains must have a
+// deadline after `now`, unless `active`, the declaration in effect (nullptr if
+// there is none), contains them unchanged. The error holds the JSON pointer or
+// the line and column of the first fault.
 result<declaration> ReadDeclaration(std::string_view text,
                                     wall_time now,
-                                    const declaration* in_force = nullptr);
+                                    const declaration* active = nullptr);
 
-// Reads a declaration that was accepted before: time goes on, so its drains
-// may have passed since.
+// Reads and checks a declaration that was accepted earlier. Its drains may have
+// expired since then.
 result<declaration> ReadAcceptedDeclaration(std::string_view text);
 
-// Reads one drain in the form that declarations hold it, without looking at
-// what it names.
+// Reads a single drain in the format used in declarations. Does not check that
+// its subject is declared.
 result<drain> ReadDrain(std::string_view text);
 
 }  // namespace samphire
--- a/src/libsamphire/config/declaration_schema.h
+++ b/src/libsamphire/config/declaration_schema.h
@@ -5,7 +5,8 @@
 
 namespace samphire {
 
-// The text of docs/declaration.schema.json.
+// The JSON Schema (draft 7) of declarations: the text of
+// docs/declaration.schema.json.
 extern const std::string_view kDeclarationSchema;
 
 }  // namespace samphire
--- a/src/libsamphire/config/declaration_writer.h
+++ b/src/libsamphire/config/declaration_writer.h
@@ -7,11 +7,11 @@
 
 namespace samphire {
 
-// Canonical JSON: equal declarations give equal bytes, and reading them gives
-// an equal declaration.
+// Returns a declaration as canonical JSON: equal declarations yield identical
+// bytes, and reading these yields an equal declaration.
 std::string WriteDeclaration(const declaration& declared);
 
-// One drain, as ReadDrain takes it.
+// Returns a single drain in the format that ReadDrain() accepts.
 std::string WriteDrain(const drain& declared);
 
 }  // namespace samphire
--- a/src/libsamphire/config/drain.h
+++ b/src/libsamphire/config/drain.h
@@ -8,12 +8,13 @@
 
 namespace samphire {
 
-// A planned stop: from `starts_at` no new work goes there, and what runs has
-// until `deadline`.
+// A planned shutdown of a target, failure domain or region: from `starts_at` no
+// new work is placed there, and running work may continue until `deadline`.
 struct drain {
   std::string name;
   drain_scope scope = drain_scope::kTarget;
-  // The target ("SERVICE/TARGET"), failure domain or region.
+  // The name of the drained target ("SERVICE/TARGET"), failure domain or
+  // region, depending on `scope`.
   std::string subject;
   wall_time starts_at;
   wall_time deadline;
--- a/src/libsamphire/config/drain_scope.h
+++ b/src/libsamphire/config/drain_scope.h
@@ -5,6 +5,7 @@
 
 namespace samphire {
 
+// The kind of unit that a drain applies to.
 enum class drain_scope { kTarget, kFailureDomain, kRegion };
 
 inline constexpr enum_names<drain_scope, 3> kDrainScopeNames{{
--- a/src/libsamphire/config/entry_settings_reader.cc
+++ b/src/libsamphire/config/entry_settings_reader.cc
@@ -20,8 +20,8 @@
   read.caller_address = FieldOf<std::string>(json, "caller_address");
   read.operator_address = FieldOf<std::string>(json, "operator_address");
   read.peer_address = FieldOf<std::string>(json, "peer_address");
-  read.platform_addresses = TextsOf(json, "platform_addresses");
-  read.seeds = TextsOf(json, "seeds");
+  read.platform_addresses = StringsOf(json, "platform_addresses");
+  read.seeds = StringsOf(json, "seeds");
   read.peer_key_file = FieldOf<std::string>(json, "peer_key_file");
   read.operator_token_file = FieldOf<std::string>(json, "operator_token_file");
   read.max_connections =
@@ -33,16 +33,18 @@
   return read;
 }
 
-// What an entry listens on may have port 0, what it calls may not.
-enum class port_rule { kMayBeFree, kMustBeGiven };
+// Whether an address may have port 0. Listening addresses may, so that the
+// system assigns a free port; addresses that the entry connects to may not.
+enum class port_policy { kAllowZero, kRequireNonZero };
 
 result<void> CheckAddress(const std::string& address,
-                          port_rule rule,
+                          port_policy policy,
                           const std::string& pointer) {
-  const bool free_port = address.ends_with(":0");
+  const bool zero_port = address.ends_with(":0");
   const auto checked =
-      free_port ? address.substr(0, address.size() - 1) + "1" : address;
-  if (IsSocketAddress(checked) && (!free_port || rule == port_rule::kMayBeFree))
+      zero_port ? address.substr(0, address.size() - 1) + "1" : address;
+  if (IsSocketAddress(checked) &&
+      (!zero_port || policy == port_policy::kAllowZero))
     return Success();
   return MakeError(result_code::kBadAddress, address, pointer);
 }
@@ -50,19 +52,19 @@
 result<void> CheckAddresses(const std::vector<std::string>& addresses,
                             const std::string& pointer) {
   for (std::size_t i = 0; i < addresses.size(); ++i) {
-    BOOST_OUTCOME_TRYV(CheckAddress(addresses[i], port_rule::kMustBeGiven,
+    BOOST_OUTCOME_TRYV(CheckAddress(addresses[i], port_policy::kRequireNonZero,
                                     fmt::format("{}/{}", pointer, i)));
   }
   return Success();
 }
 
 result<void> CheckSettings(const entry_settings& read) {
-  BOOST_OUTCOME_TRYV(CheckAddress(read.caller_address, port_rule::kMayBeFree,
+  BOOST_OUTCOME_TRYV(CheckAddress(read.caller_address, port_policy::kAllowZero,
                                   "/caller_address"));
-  BOOST_OUTCOME_TRYV(CheckAddress(read.operator_address, port_rule::kMayBeFree,
-                                  "/operator_address"));
-  BOOST_OUTCOME_TRYV(
-      CheckAddress(read.peer_address, port_rule::kMayBeFree, "/peer_address"));
+  BOOST_OUTCOME_TRYV(CheckAddress(
+      read.operator_address, port_policy::kAllowZero, "/operator_address"));
+  BOOST_OUTCOME_TRYV(CheckAddress(read.peer_address, port_policy::kAllowZero,
+                                  "/peer_address"));
   BOOST_OUTCOME_TRYV(
       CheckAddresses(read.platform_addresses, "/platform_addresses"));
   return CheckAddresses(read.seeds, "/seeds");
--- a/src/libsamphire/config/entry_settings_reader.h
+++ b/src/libsamphire/config/entry_settings_reader.h
@@ -8,7 +8,8 @@
 
 namespace samphire {
 
-// Reads the settings of one entry; port 0 asks for a free one.
+// Reads and checks the settings of an entry. Port 0 in a listening address
+// selects a free port. The error holds the JSON pointer of the invalid value.
 result<entry_settings> ReadEntrySettings(std::string_view text);
 
 }  // namespace samphire
--- a/src/libsamphire/config/file_text.cc
+++ b/src/libsamphire/config/file_text.cc
@@ -6,8 +6,8 @@
 
 namespace samphire {
 
-// One byte more than allowed is asked for and no more, so that a device or a
-// file that grows without end is refused as well.
+// Reads at most one byte more than allowed, so that a device or a file that
+// keeps growing is refused as well instead of being read indefinitely.
 result<std::string> ReadFileText(const std::string& path,
                                  std::size_t max_bytes) {
   std::ifstream file(path, std::ios::binary);
@@ -19,8 +19,9 @@
     return MakeError(result_code::kFileUnreadable, path);
   text.resize(static_cast<std::size_t>(file.gcount()));
   if (text.size() > max_bytes) {
-    return MakeError(result_code::kFileTooLarge,
-                     fmt::format("{}: over {} bytes", path, max_bytes));
+    return MakeError(
+        result_code::kFileTooLarge,
+        fmt::format("{}: exceeds the limit of {} bytes", path, max_bytes));
   }
   return text;
 }
--- a/src/libsamphire/config/file_text.h
+++ b/src/libsamphire/config/file_text.h
@@ -7,7 +7,8 @@
 
 namespace samphire {
 
-// The whole text of a file, at most `max_bytes` of it.
+// Returns the contents of a file. Fails with kFileUnreadable if it cannot be
+// opened or read, and with kFileTooLarge if it is longer than `max_bytes`.
 result<std::string> ReadFileText(const std::string& path,
                                  std::size_t max_bytes);
 
--- a/src/libsamphire/config/ip_address.cc
+++ b/src/libsamphire/config/ip_address.cc
@@ -12,25 +12,27 @@
 
 constexpr ip_address kMappedPrefix{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff};
 constexpr std::size_t kMappedBytes = kMappedPrefixBits / 8;
-// The longest text of an address is shorter; more is never an address.
-constexpr std::size_t kLongestAddress = 64;
-constexpr std::uint32_t kHighestPort = 65535;
+// Bounds the text that is parsed; the longest text form of an address is
+// shorter.
+constexpr std::size_t kMaxAddressTextBytes = 64;
+constexpr std::uint32_t kMaxPort = 65535;
 
+// Returns whether `text` is a decimal port number other than 0.
 bool IsPort(std::string_view text) {
   std::uint32_t port = 0;
   const auto [end, failure] =
       std::from_chars(text.data(), text.data() + text.size(), port);
   return failure == std::errc() && end == text.data() + text.size() &&
-         port > 0 && port <= kHighestPort;
+         port > 0 && port <= kMaxPort;
 }
 
 }  // namespace
 
-// POCO's IPAddress takes "1" and "127.1" for addresses, as inet_aton does. A
-// typing error in a declaration would then steer somebody else's callers, so
-// the strict inet_pton reads instead.
+// Uses inet_pton, which is strict. POCO's IPAddress accepts "1" and "127.1" as
+// addresses, as inet_aton does, so a typing error in a declaration could route
+// the callers of a different network.
 std::optional<ip_address> ParseIpAddress(std::string_view text) {
-  if (text.size() > kLongestAddress)
+  if (text.size() > kMaxAddressTextBytes)
     return std::nullopt;
   const std::string terminated(text);
   if (terminated.find('\0') != std::string::npos)
@@ -65,7 +67,8 @@
   const bool bracketed = host.starts_with('[') && host.ends_with(']');
   const auto parsed =
       ParseIpAddress(bracketed ? host.substr(1, host.size() - 2) : host);
-  // An IPv6 number without brackets can't be told from its port.
+  // Without brackets, the port cannot be distinguished from the last group of
+  // an IPv6 address.
   return parsed && (bracketed || host.find(':') == std::string_view::npos);
 }
 
--- a/src/libsamphire/config/json_fields.h
+++ b/src/libsamphire/config/json_fields.h
@@ -14,42 +14,46 @@
 
 namespace samphire {
 
-// Fields of an object that the schema has found to be of the right shape; one
-// that is left out gives `otherwise`.
+// Returns a field of an object that has passed schema validation, or `fallback`
+// if the field is absent.
 template <typename T>
 T FieldOf(const Poco::JSON::Object& json,
           const std::string& name,
-          T otherwise = {}) {
-  return json.optValue<T>(name, otherwise);
+          T fallback = {}) {
+  return json.optValue<T>(name, fallback);
 }
 
+// Returns a field that holds a number of milliseconds.
 inline milliseconds MillisecondsOf(const Poco::JSON::Object& json,
                                    const std::string& name,
-                                   milliseconds otherwise) {
-  return milliseconds(FieldOf<Poco::Int64>(json, name, otherwise.count()));
+                                   milliseconds fallback) {
+  return milliseconds(FieldOf<Poco::Int64>(json, name, fallback.count()));
 }
 
+// Returns the enum value whose name the field holds, or `fallback`.
 template <typename E, std::size_t N>
 E EnumOf(const Poco::JSON::Object& json,
          const std::string& name,
          const enum_names<E, N>& names,
-         E otherwise) {
+         E fallback) {
   const auto text = FieldOf<std::string>(json, name);
-  return ValueOf(names, text).value_or(otherwise);
+  return ValueOf(names, text).value_or(fallback);
 }
 
-inline std::vector<std::string> TextsOf(const Poco::JSON::Object& json,
-                                        const std::string& name) {
-  std::vector<std::string> texts;
+// Returns the elements of an array of strings, or none if it is absent.
+inline std::vector<std::string> StringsOf(const Poco::JSON::Object& json,
+                                          const std::string& name) {
+  std::vector<std::string> strings;
   if (const auto array = json.getArray(name)) {
     for (const auto& item : *array)
-      texts.push_back(item.convert<std::string>());
+      strings.push_back(item.convert<std::string>());
   }
-  return texts;
+  return strings;
 }
 
-// Reads every object of the array `name` by `read(object, pointer)` into
-// `list`.
+// Reads each object of the array `name` with `read(object, pointer)` and
+// appends the results to `list`. Stops at the first error. `pointer` is the
+// JSON pointer of `json`. Does nothing if the array is absent.
 template <typename T, typename F>
 result<void> ReadList(const Poco::JSON::Object& json,
                       const std::string& name,
--- a/src/libsamphire/config/json_pointer.cc
+++ b/src/libsamphire/config/json_pointer.cc
@@ -2,17 +2,17 @@
 
 namespace samphire {
 
-std::string JsonPointerStep(std::string_view name) {
-  std::string step = "/";
+std::string JsonPointerToken(std::string_view name) {
+  std::string token = "/";
   for (const char letter : name) {
     if (letter == '~')
-      step += "~0";
+      token += "~0";
     else if (letter == '/')
-      step += "~1";
+      token += "~1";
     else
-      step += letter;
+      token += letter;
   }
-  return step;
+  return token;
 }
 
 }  // namespace samphire
--- a/src/libsamphire/config/json_pointer.h
+++ b/src/libsamphire/config/json_pointer.h
@@ -6,8 +6,9 @@
 
 namespace samphire {
 
-// One step of a JSON pointer (RFC 6901): "/" and the escaped name.
-std::string JsonPointerStep(std::string_view name);
+// Returns one reference token of a JSON pointer (RFC 6901): "/" followed by the
+// escaped name.
+std::string JsonPointerToken(std::string_view name);
 
 }  // namespace samphire
 
--- a/src/libsamphire/config/json_text.cc
+++ b/src/libsamphire/config/json_text.cc
@@ -14,7 +14,8 @@
 
 namespace {
 
-// Where reading stopped, as an editor shows it.
+// Returns the position of the last byte before `offset` as line and column,
+// both counted from 1 as editors do; columns are counted in bytes.
 std::string PositionText(std::string_view text, std::size_t offset) {
   const auto before = text.substr(0, std::min(offset, text.size()));
   const auto line = std::count(before.begin(), before.end(), '\n') + 1;
@@ -26,9 +27,10 @@
                      std::max<std::size_t>(column, 1));
 }
 
-std::optional<std::size_t> FirstNonUtf8(std::string_view text) {
+// Returns the offset of the first byte that is not part of valid UTF-8.
+std::optional<std::size_t> FirstInvalidUtf8(std::string_view text) {
   for (std::size_t at = 0; at < text.size();) {
-    const auto length = Utf8Length(text.substr(at));
+    const auto length = Utf8SequenceLength(text.substr(at));
     if (length == 0)
       return at;
     at += length;
@@ -36,24 +38,26 @@
   return std::nullopt;
 }
 
-// Cheap bounds first: a parser never sees a text that is too large to hold or
-// that isn't text at all.
+// Cheap checks that precede parsing, so that the parser never processes a text
+// that is too large or that is not UTF-8.
 result<void> CheckBytes(std::string_view text) {
   if (text.find_first_not_of(" \t\r\n") == std::string_view::npos)
-    return MakeError(result_code::kFileEmpty, "nothing but white space");
+    return MakeError(result_code::kFileEmpty,
+                     "the text holds nothing but white space");
   if (text.size() > kMaxJsonBytes) {
     return MakeError(result_code::kFileTooLarge,
-                     fmt::format("{} bytes, at most {} are read", text.size(),
-                                 kMaxJsonBytes));
+                     fmt::format("{} bytes exceed the limit of {} bytes",
+                                 text.size(), kMaxJsonBytes));
   }
-  if (const auto at = FirstNonUtf8(text)) {
+  if (const auto at = FirstInvalidUtf8(text)) {
     return MakeError(result_code::kNotUtf8,
-                     "not UTF-8 after " + PositionText(text, *at));
+                     "invalid UTF-8 after " + PositionText(text, *at));
   }
   return Success();
 }
 
-// How far the parser read; it stops right behind the byte that it refuses.
+// Returns how far the parser has read; it stops directly after the byte that it
+// rejects.
 std::size_t OffsetOf(const std::istringstream& stream) {
   return static_cast<std::size_t>(
       stream.rdbuf()->pubseekoff(0, std::ios::cur, std::ios::in));
@@ -70,8 +74,9 @@
 
 }  // namespace
 
-// The library's parser does the reading; what it lets pass (a key named twice,
-// depth, strings without bound) the handler refuses as soon as it is seen.
+// Parses with POCO. What its parser accepts but this program does not
+// (duplicate keys, deep nesting, long strings) is rejected by the handler as
+// soon as it occurs.
 result<Poco::JSON::Object::Ptr> ReadJsonText(std::string_view text) {
   BOOST_OUTCOME_TRYV(CheckBytes(text));
   std::istringstream stream{std::string(text)};
@@ -81,14 +86,14 @@
     const auto value = parser.parse(stream);
     if (value.type() == typeid(Poco::JSON::Object::Ptr))
       return value.extract<Poco::JSON::Object::Ptr>();
-    return MakeError(result_code::kSchemaViolation, "not an object");
-  } catch (const strict_json_refusal& refusal) {
-    return refusal.reason();
+    return MakeError(result_code::kSchemaViolation, "expected a JSON object");
+  } catch (const strict_json_exception& rejected) {
+    return rejected.reason();
   } catch (const Poco::JSON::JSONException& exception) {
     return SyntaxError(text, OffsetOf(stream), exception.message(),
                        handler->pointer());
   } catch (const Poco::Exception& exception) {
-    // The parser's only other complaint is a number that no type holds.
+    // The only other error of the parser is a number that fits into no type.
     return MakeError(result_code::kValueOutOfRange, exception.message(),
                      handler->pointer());
   }
--- a/src/libsamphire/config/json_writer.cc
+++ b/src/libsamphire/config/json_writer.cc
@@ -6,37 +6,39 @@
 
 namespace samphire {
 
-// POCO has a tree of values, which takes 4.5 KB of memory for each client
-// block, and a PrintHandler that writes as it goes, but true as 1 and
-// 0.30000000000000004 as 0.3: a shift cap would change by being stored.
+// POCO's classes are not used for writing. Its tree of values takes 4.5 KB of
+// memory per client block. Its PrintHandler writes incrementally, but writes
+// true as 1 and 0.30000000000000004 as 0.3, so a shift cap would change when
+// stored.
 void json_writer::Key(std::string_view name) {
-  Raw(JsonQuote(name));
+  Append(JsonQuote(name));
   text_ += ':';
 }
 
 void json_writer::Value(std::string_view text) {
-  Raw(JsonQuote(text));
+  Append(JsonQuote(text));
 }
 
-// The shortest text that reads back as the same number.
+// Writes the shortest text that parses to the same number.
 void json_writer::Value(double number) {
-  Raw(fmt::format("{}", number));
+  Append(fmt::format("{}", number));
 }
 
 void json_writer::Open(char bracket) {
-  Separate();
+  AppendSeparator();
   text_ += bracket;
 }
 
-void json_writer::Raw(std::string_view text) {
-  Separate();
+void json_writer::Append(std::string_view text) {
+  AppendSeparator();
   text_ += text;
 }
 
-void json_writer::Separate() {
-  constexpr std::string_view kNoCommaBehind = "{[:";
+// Appends a comma unless a container or a key precedes.
+void json_writer::AppendSeparator() {
+  constexpr std::string_view kNoCommaAfter = "{[:";
   if (!text_.empty() &&
-      kNoCommaBehind.find(text_.back()) == std::string_view::npos)
+      kNoCommaAfter.find(text_.back()) == std::string_view::npos)
     text_ += ',';
 }
 
--- a/src/libsamphire/config/json_writer.h
+++ b/src/libsamphire/config/json_writer.h
@@ -7,7 +7,8 @@
 
 namespace samphire {
 
-// Writes JSON piece by piece, without white space.
+// Writes JSON text incrementally, without white space. The caller must nest
+// objects, arrays and keys correctly; this is not checked. Not thread-safe.
 class json_writer {
  public:
   void BeginObject() { Open('{'); }
@@ -17,21 +18,22 @@
   void Key(std::string_view name);
   void Value(std::string_view text);
   void Value(double number);
-  // A template, so that no pointer passes for a truth.
+  // A template, so that a pointer is not converted to bool implicitly.
   template <std::integral T>
   void Value(T number) {
     if constexpr (std::same_as<T, bool>)
-      Raw(number ? "true" : "false");
+      Append(number ? "true" : "false");
     else
-      Raw(std::to_string(number));
+      Append(std::to_string(number));
   }
 
+  // The text written so far.
   const std::string& text() const { return text_; }
 
  private:
   void Open(char bracket);
-  void Raw(std::string_view text);
-  void Separate();
+  void Append(std::string_view text);
+  void AppendSeparator();
 
   std::string text_;
 };
--- a/src/libsamphire/config/priority.h
+++ b/src/libsamphire/config/priority.h
@@ -5,7 +5,8 @@
 
 namespace samphire {
 
-// Under overload, lower priorities are refused first.
+// Priority of a request class for load shedding: under overload, requests of
+// lower priority are refused first.
 enum class priority { kLow, kNormal, kHigh };
 
 inline constexpr enum_names<priority, 3> kPriorityNames{{
--- a/src/libsamphire/config/region_checks.cc
+++ b/src/libsamphire/config/region_checks.cc
@@ -22,9 +22,10 @@
   return MakeError(result_code::kUnknownRegion, region_name, pointer);
 }
 
+// The names a drain may refer to, and the error code for any other name.
 struct drain_subject_rule {
   const std::set<std::string>& declared;
-  result_code refusal;
+  result_code unknown_code;
 };
 
 drain_subject_rule RuleOf(drain_scope scope, const declaration_names& names) {
@@ -44,18 +45,18 @@
                         const std::string& pointer) {
   const auto rule = RuleOf(declared.scope, names);
   if (!rule.declared.contains(declared.subject))
-    return MakeError(rule.refusal, declared.subject, pointer + "/subject");
+    return MakeError(rule.unknown_code, declared.subject, pointer + "/subject");
   if (declared.deadline <= declared.starts_at) {
     return MakeError(result_code::kDrainWithoutTime,
-                     "deadline is not after starts_at", pointer + "/deadline");
+                     "deadline must be after starts_at", pointer + "/deadline");
   }
   return Success();
 }
 
 }  // namespace
 
-// Targets and drains name a failure domain without its region, so its name
-// must be one of a kind in the whole declaration.
+// Targets and drains refer to a failure domain without its region, so its name
+// must be unique in the whole declaration.
 result<void> CheckRegionNames(const declaration& declared,
                               const declaration_names& names) {
   unique_names regions;
@@ -81,13 +82,13 @@
     const auto pointer = fmt::format("/latencies/{}", i);
     BOOST_OUTCOME_TRYV(CheckRegion(names, one.from, pointer + "/from"));
     BOOST_OUTCOME_TRYV(CheckRegion(names, one.to, pointer + "/to"));
-    // It is the same both ways, so the order of the pair doesn't count.
+    // Latencies are symmetric, so the order of the two regions is ignored.
     const auto [first, second] = std::minmax(one.from, one.to);
     BOOST_OUTCOME_TRYV(
         pairs.Add(fmt::format("{} and {}", first, second), pointer));
     if (first == second) {
       return MakeError(result_code::kValueOutOfRange,
-                       "a latency is between two regions", pointer + "/to");
+                       "from and to name the same region", pointer + "/to");
     }
   }
   return Success();
@@ -107,15 +108,15 @@
       return MakeError(result_code::kShiftCapToItself, one.to, pointer + "/to");
     if (one.initial > one.max_in_flight) {
       return MakeError(result_code::kValueOutOfRange,
-                       "initial is over max_in_flight", pointer + "/initial");
+                       "initial exceeds max_in_flight", pointer + "/initial");
     }
   }
   return Success();
 }
 
-// Blocks inside one another are fine, the longest prefix decides. The same
-// block twice has no such answer. Sorting keeps the check short of a pass for
-// each pair: a large fleet declares blocks by the million.
+// Nested blocks are allowed, since the longest matching prefix is used. Two
+// equal blocks are ambiguous and therefore refused. Sorting avoids comparing
+// every pair of blocks: a large fleet declares millions of them.
 result<void> CheckClientBlocks(const declaration& declared,
                                const declaration_names& names) {
   const auto& blocks = declared.client_blocks;
@@ -131,14 +132,14 @@
   std::sort(order.begin(), order.end(), [&key](auto a, auto b) {
     return std::make_pair(key(a), a) < std::make_pair(key(b), b);
   });
-  const auto twice =
+  const auto duplicate =
       std::adjacent_find(order.begin(), order.end(),
                          [&key](auto a, auto b) { return key(a) == key(b); });
-  if (twice == order.end())
+  if (duplicate == order.end())
     return Success();
   return MakeError(result_code::kOverlappingClientBlocks,
-                   FormatClientBlock(blocks[*twice]),
-                   fmt::format("/client_blocks/{}/block", *(twice + 1)));
+                   FormatClientBlock(blocks[*duplicate]),
+                   fmt::format("/client_blocks/{}/block", *(duplicate + 1)));
 }
 
 result<void> CheckDrains(const declaration& declared,
--- a/src/libsamphire/config/region_checks.h
+++ b/src/libsamphire/config/region_checks.h
@@ -7,7 +7,9 @@
 
 namespace samphire {
 
-// Checks of what a declaration says of regions and of moves between them.
+// Checks of the regions, failure domains, latencies, shift caps, client blocks
+// and drains of a declaration. Each returns the first error with its JSON
+// pointer.
 result<void> CheckRegionNames(const declaration& declared,
                               const declaration_names& names);
 result<void> CheckLatencies(const declaration& declared,
--- a/src/libsamphire/config/region_latency.h
+++ b/src/libsamphire/config/region_latency.h
@@ -7,7 +7,8 @@
 
 namespace samphire {
 
-// The one-way latency between two regions, the same both ways.
+// The one-way network latency between two regions, which applies in both
+// directions.
 struct region_latency {
   std::string from;
   std::string to;
--- a/src/libsamphire/config/request_class.h
+++ b/src/libsamphire/config/request_class.h
@@ -10,25 +10,27 @@
 
 namespace samphire {
 
-// How one kind of request of a service is to be treated.
+// A class of requests of a service: which requests it matches and how they are
+// handled.
 struct request_class {
   std::string name;
   // The HTTP method, or "*" for any.
   std::string method;
-  // The path below the service. "*" stands for one segment, a last "**" for
-  // any number of segments, none included.
+  // The path pattern relative to the service. "*" matches one segment; "**" as
+  // the last segment matches any number of segments, including none.
   std::string path;
-  // A request of a class that is not repeatable runs at most once.
+  // Whether a request may be executed more than once. Requests of a class that
+  // is not repeatable have at-most-once semantics.
   bool repeatable = true;
-  // A change to this class needs a second operator's consent.
+  // Whether a change to this class needs the approval of a second operator.
   bool witnessed = false;
   samphire::priority priority = priority::kNormal;
   request_kind kind = request_kind::kInteractive;
-  // The time a caller has without a header of its own, and the longest that
-  // the header may ask for.
+  // The deadline of a request without a deadline header, and the longest
+  // deadline that the header may request.
   milliseconds deadline{0};
   milliseconds max_deadline{0};
-  // The most requests that wait for a slot at one entry.
+  // The most requests of this class that may wait for a slot at one entry.
   std::uint32_t queue_limit = 0;
 
   bool operator==(const request_class&) const = default;
--- a/src/libsamphire/config/request_kind.h
+++ b/src/libsamphire/config/request_kind.h
@@ -5,8 +5,9 @@
 
 namespace samphire {
 
-// Bulk work (long downloads) queues and holds slots apart from interactive
-// work, so that it never delays it.
+// The kind of work a request causes. Bulk requests (long downloads) are queued
+// and allotted slots separately, so that they do not delay interactive
+// requests.
 enum class request_kind { kInteractive, kBulk };
 
 inline constexpr enum_names<request_kind, 2> kRequestKindNames{{
--- a/src/libsamphire/config/schema_validator.cc
+++ b/src/libsamphire/config/schema_validator.cc
@@ -11,8 +11,8 @@
 #include <string>
 #include <utility>
 #include <vector>
-// The library's headers take many seconds to compile: only this source
-// includes them.
+// The headers of valijson take many seconds to compile, so only this source
+// file includes them.
 #include <valijson/adapters/poco_json_adapter.hpp>
 #include <valijson/schema.hpp>
 #include <valijson/schema_parser.hpp>
@@ -27,53 +27,60 @@
 
 using schema_error = valijson::ValidationResults::Error;
 
-// The library tells rules apart by its wording only. A test breaks each of
-// these rules, so that a new wording shows at once.
-constexpr std::string_view kUnknownFieldWording =
+// valijson distinguishes violated rules only by the text of its messages. A
+// test violates each of these rules and so detects a change of the texts.
+constexpr std::string_view kUnknownFieldPrefix =
     "Object contains a property that could not be validated using 'properties' "
     "or 'additionalProperties' constraints: '";
-constexpr std::string_view kRangeWording = "Expected number";
-constexpr std::string_view kUnknownFieldEnd = "'.";
+constexpr std::string_view kRangePrefix = "Expected number";
+constexpr std::string_view kUnknownFieldSuffix = "'.";
 
-// The library writes a path as "<root>", "[services]", "[0]".
-std::string PointerOf(const schema_error& fault) {
+// Returns the JSON pointer of a violation. valijson reports its path as
+// "<root>",
+// "[services]", "[0]".
+std::string PointerOf(const schema_error& violation) {
   std::string pointer;
-  for (const auto& step : fault.context) {
+  for (const auto& step : violation.context) {
     if (step.size() >= 2 && step.front() == '[')
       pointer +=
-          JsonPointerStep(std::string_view(step).substr(1, step.size() - 2));
+          JsonPointerToken(std::string_view(step).substr(1, step.size() - 2));
   }
   return pointer;
 }
 
-error ErrorOf(const schema_error& fault) {
-  const std::string_view description = fault.description;
-  const auto pointer = PointerOf(fault);
-  if (description.starts_with(kUnknownFieldWording)) {
-    auto field = description.substr(kUnknownFieldWording.size());
-    field.remove_suffix(std::min(field.size(), kUnknownFieldEnd.size()));
+// Translates a violation to a result code and a JSON pointer.
+error ErrorOf(const schema_error& violation) {
+  const std::string_view description = violation.description;
+  const auto pointer = PointerOf(violation);
+  if (description.starts_with(kUnknownFieldPrefix)) {
+    auto field = description.substr(kUnknownFieldPrefix.size());
+    field.remove_suffix(std::min(field.size(), kUnknownFieldSuffix.size()));
     return MakeError(result_code::kUnknownField, std::string(field),
-                     pointer + JsonPointerStep(field));
+                     pointer + JsonPointerToken(field));
   }
-  const auto code = description.starts_with(kRangeWording)
+  const auto code = description.starts_with(kRangePrefix)
                         ? result_code::kValueOutOfRange
                         : result_code::kSchemaViolation;
-  return MakeError(code, fault.description, pointer);
+  return MakeError(code, violation.description, pointer);
 }
 
-// Every level above a fault reports that something below is wrong; only the
-// deepest report says what.
-const schema_error& DeepestOf(const valijson::ValidationResults& faults) {
-  return *std::max_element(faults.begin(), faults.end(),
+// Returns the violation with the longest path. Every level above an invalid
+// value reports only that a value below it is invalid; the deepest report names
+// the cause.
+const schema_error& DeepestViolation(
+    const valijson::ValidationResults& violations) {
+  return *std::max_element(violations.begin(), violations.end(),
                            [](const auto& a, const auto& b) {
                              return a.context.size() < b.context.size();
                            });
 }
 
+// The text of a schema and the JSON pointer of a part of it; the pointer is
+// empty for the whole schema.
 using schema_key = std::pair<std::string_view, std::string_view>;
 
-// A part is read as the whole document with a reference to the part at its
-// root, so that what the part refers to is still found.
+// A part is parsed as a document that contains all definitions and a reference
+// to the part at its root, so that the references within the part resolve.
 std::shared_ptr<const valijson::Schema> ParseSchema(const schema_key& key) {
   const auto& [text, part] = key;
   Poco::JSON::Parser json_parser;
@@ -92,7 +99,8 @@
   return schema;
 }
 
-// Parsing a schema costs more than using it, and there are few of them.
+// Returns the parsed schema from a cache: parsing a schema takes longer than
+// validating with it, and there are only a few. Thread-safe.
 std::shared_ptr<const valijson::Schema> SchemaOf(const schema_key& key) {
   static std::mutex lock;
   static std::map<schema_key, std::shared_ptr<const valijson::Schema>> parsed;
@@ -103,9 +111,11 @@
   return schema;
 }
 
-// How many items of a long array are looked at together for what is wrong.
+// The number of items of a long array that are validated together while
+// searching for a violation.
 constexpr unsigned int kSliceItems = 256;
 
+// Returns at most kSliceItems items of an array, starting at `first`.
 Poco::JSON::Array::Ptr SliceOf(const Poco::JSON::Array& whole,
                                unsigned int first) {
   Poco::JSON::Array::Ptr slice = new Poco::JSON::Array;
@@ -115,7 +125,7 @@
   return slice;
 }
 
-// The arrays of `value` that are longer than a slice.
+// Returns the names of the arrays in `value` that are longer than a slice.
 std::vector<std::string> LongArrays(const Poco::JSON::Object& value) {
   std::vector<std::string> names;
   for (const auto& name : value.getNames()) {
@@ -126,57 +136,62 @@
   return names;
 }
 
-// Whether `value` is faulty, and how.
-std::optional<schema_error> FaultOf(const valijson::Schema& schema,
-                                    const Poco::JSON::Object::Ptr& value) {
+// Returns the deepest violation in `value`, or nothing if it is valid.
+std::optional<schema_error> FindViolation(
+    const valijson::Schema& schema,
+    const Poco::JSON::Object::Ptr& value) {
   const Poco::Dynamic::Var document(value);
   const valijson::adapters::PocoJsonAdapter adapter(document);
   valijson::Validator validator;
   if (validator.validate(schema, adapter, nullptr))
     return std::nullopt;
-  valijson::ValidationResults faults;
-  validator.validate(schema, adapter, &faults);
-  return faults.numErrors() == 0 ? schema_error{} : DeepestOf(faults);
+  valijson::ValidationResults violations;
+  validator.validate(schema, adapter, &violations);
+  return violations.numErrors() == 0 ? schema_error{}
+                                     : DeepestViolation(violations);
 }
 
-// Where `fault` lies in the slice of `name` that starts at `first`.
-schema_error Shifted(schema_error fault,
-                     const std::string& name,
-                     unsigned int first) {
+// Converts the index in a violation from the slice of the array `name` that
+// starts at `first` to the whole array.
+schema_error WithArrayOffset(schema_error violation,
+                             const std::string& name,
+                             unsigned int first) {
   constexpr std::size_t kNameStep = 1;
   constexpr std::size_t kIndexStep = 2;
-  auto& steps = fault.context;
+  auto& steps = violation.context;
   if (steps.size() > kIndexStep && steps[kNameStep] == "[" + name + "]") {
     const auto index = std::stoul(steps[kIndexStep].substr(1));
     steps[kIndexStep] = "[" + std::to_string(index + first) + "]";
   }
-  return fault;
+  return violation;
 }
 
-// The library lists every fault, some hundred bytes each, and a file whose
-// hundred thousand blocks all lack a field would end a small instance. So the
-// fault is looked for in the file with its long arrays cut short, then slice
-// by slice.
-schema_error FirstFault(const valijson::Schema& schema,
-                        const Poco::JSON::Object& value) {
+// Returns the first violation in an invalid document. valijson collects all
+// violations at a few hundred bytes each, so a file with a hundred thousand
+// blocks that all lack a field would exhaust the memory of a small instance.
+// Therefore the document is first validated with its long arrays truncated to
+// one slice, then slice by slice.
+schema_error FirstViolation(const valijson::Schema& schema,
+                            const Poco::JSON::Object& value) {
   const auto names = LongArrays(value);
-  Poco::JSON::Object::Ptr cut = new Poco::JSON::Object(value);
+  Poco::JSON::Object::Ptr truncated = new Poco::JSON::Object(value);
   for (const auto& name : names)
-    cut->set(name, SliceOf(*value.getArray(name), 0));
-  if (const auto fault = FaultOf(schema, cut))
-    return *fault;
+    truncated->set(name, SliceOf(*value.getArray(name), 0));
+  if (const auto violation = FindViolation(schema, truncated))
+    return *violation;
   for (const auto& name : names) {
     const auto whole = value.getArray(name);
     for (unsigned int first = 0; first < whole->size(); first += kSliceItems) {
-      cut->set(name, SliceOf(*whole, first));
-      if (const auto fault = FaultOf(schema, cut))
-        return Shifted(*fault, name, first);
+      truncated->set(name, SliceOf(*whole, first));
+      if (const auto violation = FindViolation(schema, truncated))
+        return WithArrayOffset(*violation, name, first);
     }
-    cut->set(name, SliceOf(*whole, 0));
+    truncated->set(name, SliceOf(*whole, 0));
   }
-  // Every item is sound, so what is left is an array with too many of them.
+  // Every item is valid, so the remaining violation is an array with too many
+  // items.
   const Poco::JSON::Object::Ptr copy = new Poco::JSON::Object(value);
-  return FaultOf(schema, copy).value_or(schema_error{});
+  return FindViolation(schema, copy).value_or(schema_error{});
 }
 
 }  // namespace
@@ -190,7 +205,7 @@
   valijson::Validator validator;
   if (validator.validate(*schema, adapter, nullptr))
     return Success();
-  return ErrorOf(FirstFault(*schema, *value));
+  return ErrorOf(FirstViolation(*schema, *value));
 }
 
 }  // namespace samphire
--- a/src/libsamphire/config/schema_validator.h
+++ b/src/libsamphire/config/schema_validator.h
@@ -9,9 +9,11 @@
 
 namespace samphire {
 
-// Checks `value` against a JSON Schema that this program carries, or against
-// the part of it that the JSON pointer `part` names. The error names the
-// deepest value at fault and the rule that it breaks.
+// Validates `value` against a JSON Schema embedded in this program, or against
+// the part of the schema at the JSON pointer `part`. The error holds the JSON
+// pointer of the most deeply nested invalid value and the violated rule.
+// `schema_text` and `part` must have static storage, since parsed schemas are
+// cached under these views. Thread-safe.
 result<void> ValidateBySchema(const Poco::JSON::Object::Ptr& value,
                               std::string_view schema_text,
                               std::string_view part = {});
--- a/src/libsamphire/config/service.h
+++ b/src/libsamphire/config/service.h
@@ -9,6 +9,7 @@
 
 namespace samphire {
 
+// A service: the classes of its requests and the targets that run them.
 struct service {
   std::string name;
   std::vector<request_class> classes;
--- a/src/libsamphire/config/service_checks.cc
+++ b/src/libsamphire/config/service_checks.cc
@@ -10,15 +10,15 @@
 
 namespace {
 
-// A request without a deadline could hold a slot for ever, and its caller
-// could never be told that it is given up.
+// Every class needs a deadline: a request without one could occupy a slot
+// indefinitely, and its caller could never be told that it has expired.
 result<void> CheckDeadline(const request_class& declared,
                            const std::string& pointer) {
   if (declared.deadline <= milliseconds(0))
     return MakeError(result_code::kMissingDeadline, declared.name, pointer);
   if (declared.max_deadline < declared.deadline) {
     return MakeError(result_code::kValueOutOfRange,
-                     "max_deadline_ms is below deadline_ms",
+                     "max_deadline_ms is less than deadline_ms",
                      pointer + "/max_deadline_ms");
   }
   return Success();
@@ -29,13 +29,13 @@
   if (IsClassPath(declared.path))
     return Success();
   return MakeError(result_code::kSchemaViolation,
-                   "a path has no empty, \".\" or \"..\" segment and \"**\" "
-                   "only at its end",
+                   "a path must not contain empty, \".\" or \"..\" segments, "
+                   "and \"**\" only at its end",
                    pointer + "/path");
 }
 
-// The most specific class decides, so two are in each other's way only when
-// method and path are the same.
+// The most specific class is used for a request, so two classes are ambiguous
+// only if their methods and paths are both equal.
 result<void> CheckClasses(const service& declared, const std::string& pointer) {
   unique_names names;
   std::set<std::pair<std::string, std::string>> matches;
@@ -53,7 +53,8 @@
   return Success();
 }
 
-// One address listed twice would be given twice the slots that it has.
+// Addresses must be unique: a target listed twice would be assigned twice as
+// many requests as it has slots.
 result<void> CheckTargets(const service& declared,
                           const declaration_names& names,
                           const std::string& pointer) {
--- a/src/libsamphire/config/service_checks.h
+++ b/src/libsamphire/config/service_checks.h
@@ -7,7 +7,8 @@
 
 namespace samphire {
 
-// Checks of services, their classes and their targets.
+// Checks the services of a declaration with their classes and targets. Returns
+// the first error with its JSON pointer.
 result<void> CheckServices(const declaration& declared,
                            const declaration_names& names);
 
--- a/src/libsamphire/config/settings_schema.h
+++ b/src/libsamphire/config/settings_schema.h
@@ -5,7 +5,8 @@
 
 namespace samphire {
 
-// The text of docs/settings.schema.json.
+// The JSON Schema (draft 7) of entry settings: the text of
+// docs/settings.schema.json.
 extern const std::string_view kSettingsSchema;
 
 }  // namespace samphire
--- a/src/libsamphire/config/shift_cap.h
+++ b/src/libsamphire/config/shift_cap.h
@@ -6,9 +6,10 @@
 
 namespace samphire {
 
-// The most work that callers of region `from` may have running in region `to`
-// at once. It starts at `initial` and grows by `ramp_per_s` while the shift
-// lasts, since the caches it lands on are cold.
+// Limits the requests of callers in region `from` that run concurrently in
+// region `to`. The limit starts at `initial` and grows by `ramp_per_s` requests
+// per second up to `max_in_flight` while the shift lasts, since the caches in
+// the receiving region are cold.
 struct shift_cap {
   std::string from;
   std::string to;
--- a/src/libsamphire/config/strict_json_handler.cc
+++ b/src/libsamphire/config/strict_json_handler.cc
@@ -8,140 +8,146 @@
 namespace samphire {
 
 void strict_json_handler::reset() {
-  levels_.clear();
+  open_containers_.clear();
   values_ = 0;
   Poco::JSON::ParseHandler::reset();
 }
 
 void strict_json_handler::startObject() {
-  Open(false);
+  EnterContainer(false);
   Poco::JSON::ParseHandler::startObject();
 }
 
 void strict_json_handler::endObject() {
   Poco::JSON::ParseHandler::endObject();
-  Close();
+  LeaveContainer();
 }
 
 void strict_json_handler::startArray() {
-  Open(true);
+  EnterContainer(true);
   Poco::JSON::ParseHandler::startArray();
 }
 
 void strict_json_handler::endArray() {
   Poco::JSON::ParseHandler::endArray();
-  Close();
+  LeaveContainer();
 }
 
-// The library keeps the last of two equal keys. Whoever reads the file top
-// down would believe in the first one, such as a cap that is not in force.
+// POCO keeps the last of two equal keys. A person who reads the file from the
+// top would rely on the first, such as a cap that is not in effect, so
+// duplicate keys are refused.
 void strict_json_handler::key(const std::string& name) {
-  CheckText(name);
-  levels_.back().current = name;
-  if (!levels_.back().seen.insert(name).second) {
-    throw strict_json_refusal(MakeError(result_code::kJsonDuplicateKey,
-                                        fmt::format("\"{}\" twice", name),
-                                        pointer()));
+  CheckString(name);
+  open_containers_.back().current_key = name;
+  if (!open_containers_.back().seen_keys.insert(name).second) {
+    throw strict_json_exception(
+        MakeError(result_code::kJsonDuplicateKey,
+                  fmt::format("key \"{}\" occurs twice", name), pointer()));
   }
   Poco::JSON::ParseHandler::key(name);
 }
 
 void strict_json_handler::value(int number) {
   Poco::JSON::ParseHandler::value(number);
-  ValueDone();
+  CountValue();
 }
 
 void strict_json_handler::value(unsigned number) {
   Poco::JSON::ParseHandler::value(number);
-  ValueDone();
+  CountValue();
 }
 
 void strict_json_handler::value(Poco::Int64 number) {
   Poco::JSON::ParseHandler::value(number);
-  ValueDone();
+  CountValue();
 }
 
 void strict_json_handler::value(Poco::UInt64 number) {
   Poco::JSON::ParseHandler::value(number);
-  ValueDone();
+  CountValue();
 }
 
 void strict_json_handler::value(const std::string& text) {
-  CheckText(text);
+  CheckString(text);
   Poco::JSON::ParseHandler::value(text);
-  ValueDone();
+  CountValue();
 }
 
 void strict_json_handler::value(double number) {
   Poco::JSON::ParseHandler::value(number);
-  ValueDone();
+  CountValue();
 }
 
-void strict_json_handler::value(bool truth) {
-  Poco::JSON::ParseHandler::value(truth);
-  ValueDone();
+void strict_json_handler::value(bool flag) {
+  Poco::JSON::ParseHandler::value(flag);
+  CountValue();
 }
 
 void strict_json_handler::null() {
   Poco::JSON::ParseHandler::null();
-  ValueDone();
+  CountValue();
 }
 
 std::string strict_json_handler::pointer() const {
   std::string path;
-  for (const auto& open : levels_) {
+  for (const auto& open : open_containers_) {
     if (open.is_array)
       path += fmt::format("/{}", open.index);
-    else if (!open.seen.empty())
-      path += JsonPointerStep(open.current);
+    else if (!open.seen_keys.empty())
+      path += JsonPointerToken(open.current_key);
   }
   return path;
 }
 
-// Reading recurses a level for each depth, here and in whatever walks the
-// value later; the bound keeps a hostile file from ending the process.
-void strict_json_handler::Open(bool is_array) {
-  if (levels_.size() == kMaxJsonDepth) {
-    throw strict_json_refusal(MakeError(
-        result_code::kJsonTooDeep,
-        fmt::format("more than {} levels", kMaxJsonDepth), pointer()));
+// Parsing, and any later traversal of the value, recurses once per nesting
+// level. The bound prevents a malicious file from exhausting the stack and
+// crashing the process.
+void strict_json_handler::EnterContainer(bool is_array) {
+  if (open_containers_.size() == kMaxJsonDepth) {
+    throw strict_json_exception(
+        MakeError(result_code::kJsonTooDeep,
+                  fmt::format("nested more than {} levels deep", kMaxJsonDepth),
+                  pointer()));
   }
-  level opened;
+  open_container opened;
   opened.is_array = is_array;
-  levels_.push_back(std::move(opened));
+  open_containers_.push_back(std::move(opened));
 }
 
-void strict_json_handler::Close() {
-  levels_.pop_back();
-  ValueDone();
+void strict_json_handler::LeaveContainer() {
+  open_containers_.pop_back();
+  CountValue();
 }
 
-// A parsed value takes hundreds of times the bytes of its text ("{},"); without
-// a bound on their number 8 MB of text would take gigabytes.
-void strict_json_handler::ValueDone() {
+// A parsed value takes hundreds of times as many bytes as its text ("{},"), so
+// without a bound on the number of values, 8 MB of text would take gigabytes.
+void strict_json_handler::CountValue() {
   if (++values_ > kMaxJsonValues) {
-    throw strict_json_refusal(MakeError(
+    throw strict_json_exception(MakeError(
         result_code::kFileTooLarge,
-        fmt::format("more than {} values", kMaxJsonValues), pointer()));
+        fmt::format("the text holds more than {} values", kMaxJsonValues),
+        pointer()));
   }
-  if (!levels_.empty() && levels_.back().is_array)
-    ++levels_.back().index;
+  if (!open_containers_.empty() && open_containers_.back().is_array)
+    ++open_containers_.back().index;
 }
 
-// No text of ours is long, and the schema's patterns are matched by recursion
-// over the text's length, so a long one would exhaust the stack. A NUL would
-// end the text early wherever it meets a function of the C library.
-void strict_json_handler::CheckText(const std::string& text) const {
+// Checks the length and content of a string. Valid documents contain only short
+// strings, and the patterns of the schema are matched by recursion over the
+// length of the string, so a long one would exhaust the stack. A NUL would
+// truncate the string when passed to functions of the C library.
+void strict_json_handler::CheckString(const std::string& text) const {
   if (text.size() > kMaxJsonStringBytes) {
-    throw strict_json_refusal(
-        MakeError(result_code::kValueOutOfRange,
-                  fmt::format("a text of {} bytes, at most {} are read",
-                              text.size(), kMaxJsonStringBytes),
-                  pointer()));
+    throw strict_json_exception(MakeError(
+        result_code::kValueOutOfRange,
+        fmt::format("string of {} bytes exceeds the limit of {} bytes",
+                    text.size(), kMaxJsonStringBytes),
+        pointer()));
   }
   if (text.find('\0') != std::string::npos) {
-    throw strict_json_refusal(
-        MakeError(result_code::kJsonSyntax, "a NUL in a text", pointer()));
+    throw strict_json_exception(MakeError(result_code::kJsonSyntax,
+                                          "string contains a NUL character",
+                                          pointer()));
   }
 }
 
--- a/src/libsamphire/config/strict_json_handler.h
+++ b/src/libsamphire/config/strict_json_handler.h
@@ -7,12 +7,13 @@
 #include <string>
 #include <vector>
 
-#include "config/strict_json_refusal.h"
+#include "config/strict_json_exception.h"
 
 namespace samphire {
 
-// Builds the value that the parser reads and throws strict_json_refusal for
-// what is too deep, too long or named twice.
+// Builds the value that the parser reads. Throws strict_json_exception if the
+// nesting is too deep, a string too long, the number of values too large, or a
+// key duplicated. Not thread-safe; used for one text at a time.
 class strict_json_handler final : public Poco::JSON::ParseHandler {
  public:
   void reset() override;
@@ -27,27 +28,28 @@
   void value(Poco::UInt64 number) override;
   void value(const std::string& text) override;
   void value(double number) override;
-  void value(bool truth) override;
+  void value(bool flag) override;
   void null() override;
 
-  // The JSON pointer of what is being read.
+  // The JSON pointer of the value that is being read.
   std::string pointer() const;
 
  private:
-  // One object or array that is open.
-  struct level {
+  // An object or array whose end has not been read yet. `index` is the position
+  // in an array, `current_key` and `seen_keys` belong to an object.
+  struct open_container {
     bool is_array = false;
     std::size_t index = 0;
-    std::string current;
-    std::set<std::string> seen;
+    std::string current_key;
+    std::set<std::string> seen_keys;
   };
 
-  void Open(bool is_array);
-  void Close();
-  void ValueDone();
-  void CheckText(const std::string& text) const;
+  void EnterContainer(bool is_array);
+  void LeaveContainer();
+  void CountValue();
+  void CheckString(const std::string& text) const;
 
-  std::vector<level> levels_;
+  std::vector<open_container> open_containers_;
   std::size_t values_ = 0;
 };
 
--- a/src/libsamphire/config/target.h
+++ b/src/libsamphire/config/target.h
@@ -6,15 +6,15 @@
 
 namespace samphire {
 
-// One place that runs requests of a service.
+// A backend instance that runs requests of a service.
 struct target {
   std::string name;
-  // IP:PORT by number.
+  // Numeric IP:PORT.
   std::string address;
   std::string failure_domain;
-  // How many requests it runs at a time.
+  // The most requests that it runs concurrently.
   std::uint32_t slots = 0;
-  // How many connections it accepts.
+  // The most connections that it accepts.
   std::uint32_t connections = 0;
 
   bool operator==(const target&) const = default;
--- a/src/libsamphire/config/unique_names.h
+++ b/src/libsamphire/config/unique_names.h
@@ -8,9 +8,11 @@
 
 namespace samphire {
 
-// Takes names one by one and refuses the second of two equal ones.
+// Collects names and refuses duplicates.
 class unique_names {
  public:
+  // Adds `name`. Fails with kDuplicateName and the given JSON pointer if an
+  // equal name was added before.
   result<void> Add(const std::string& name, const std::string& pointer) {
     if (seen_.insert(name).second)
       return Success();
--- a/src/libsamphire/config/wall_time_text.h
+++ b/src/libsamphire/config/wall_time_text.h
@@ -8,9 +8,11 @@
 
 namespace samphire {
 
-// Times of day as people write them: 2026-12-02T08:30:00Z, or with
-// milliseconds; always UTC.
+// Parses a UTC time such as 2026-12-02T08:30:00Z, optionally with three digits
+// of milliseconds. Returns nothing for any other form.
 std::optional<wall_time> ParseWallTime(const std::string& text);
+// Returns a time in the same form, truncated to milliseconds, which are omitted
+// if they are 0.
 std::string FormatWallTime(wall_time time);
 
 }  // namespace samphire
--- a/src/libsamphire/distribution/config_proposal.cc
+++ b/src/libsamphire/distribution/config_proposal.cc
@@ -46,8 +46,8 @@
                              json->getValue<std::string>("content"),
                              ReadTreeRef(*json, "frame"),
                              ReadTreeRef(*json, "blocks"),
-                             TextsOf(*json, "fresh"),
-                             TextsOf(*json, "touches")};
+                             StringsOf(*json, "fresh"),
+                             StringsOf(*json, "touches")};
     }
   } catch (const Poco::Exception&) {
   }
--- a/src/libsamphire/front/response_writer.cc
+++ b/src/libsamphire/front/response_writer.cc
@@ -64,7 +64,7 @@
                fmt::format("{} {}", static_cast<int>(status.code), info.name));
   response.set(kHeaderRun, std::string(NameOf(kRunStateNames, status.run)));
   response.set(kHeaderConfig, std::to_string(status.config_version));
-  if (info.come_back)
+  if (info.retryable)
     SetRetryAfter(response, status.retry_after, status.fractional_retry_after);
 }
 
--- a/src/libsamphire/gateway/seat_share.cc
+++ b/src/libsamphire/gateway/seat_share.cc
@@ -14,7 +14,7 @@
   const auto found =
       std::find_if(declared.regions.begin(), declared.regions.end(),
                    [&](const auto& each) { return each.name == name; });
-  return found == declared.regions.end() ? 0 : found->seats;
+  return found == declared.regions.end() ? 0 : found->partition_count;
 }
 
 // The caps on what other regions may shift here. Where none is declared nothing
--- a/src/libsamphire/history/refusal_rule.cc
+++ b/src/libsamphire/history/refusal_rule.cc
@@ -45,7 +45,7 @@
   if (DecidedOnArrival(*code) && answer.latency_us > grace)
     return fmt::format("refused as {} only after {} ms", NameOf(*code),
                        answer.latency_us / 1000);
-  if (InfoOf(*code).come_back && answer.retry_after_s < 0)
+  if (InfoOf(*code).retryable && answer.retry_after_s < 0)
     return fmt::format("refused as {} without Retry-After", NameOf(*code));
   return {};
 }
--- a/src/libsamphire/metrics/latency_summary.cc
+++ b/src/libsamphire/metrics/latency_summary.cc
@@ -6,6 +6,7 @@
 
 namespace {
 
+// The quantiles that are estimated.
 constexpr std::array<double, 4> kQuantiles = {0.5, 0.9, 0.99, 0.999};
 
 }  // namespace
--- a/src/libsamphire/metrics/latency_summary.h
+++ b/src/libsamphire/metrics/latency_summary.h
@@ -13,8 +13,9 @@
 
 namespace samphire {
 
-// Count, sum, maximum and estimated quantiles of a stream of latencies, in
-// constant memory.
+// Computes count, sum, maximum and estimated quantiles of a stream of latencies
+// in constant memory. Times are in seconds, and 0 while there are no latencies.
+// Not thread-safe.
 class latency_summary {
  public:
   latency_summary();
@@ -24,7 +25,8 @@
   std::size_t count() const;
   double sum_seconds() const;
   double max_seconds() const;
-  // The estimate for one of 0.5, 0.9, 0.99, 0.999.
+  // Returns the estimate for one of 0.5, 0.9, 0.99, 0.999; for any other
+  // probability, the maximum.
   double quantile_seconds(double probability) const;
 
  private:
--- a/src/libsamphire/metrics/metrics.cc
+++ b/src/libsamphire/metrics/metrics.cc
@@ -8,31 +8,34 @@
 
 namespace {
 
+// Precedes the name of every exported metric.
 constexpr std::string_view kPrefix = "samphire_";
 
 std::string ReasonLabel(result_code reason) {
   return fmt::format("reason=\"{}\"", NameOf(reason));
 }
 
-std::string Line(std::string_view name,
-                 std::string_view labels,
-                 auto value,
-                 std::string_view extra = {}) {
-  std::string braces;
+// Returns one sample line in the Prometheus text format. `extra` is a further
+// label.
+std::string FormatSample(std::string_view name,
+                         std::string_view labels,
+                         auto value,
+                         std::string_view extra = {}) {
+  std::string label_set;
   if (!labels.empty() || !extra.empty()) {
-    braces = fmt::format("{{{}{}{}}}", labels,
-                         labels.empty() || extra.empty() ? "" : ",", extra);
+    label_set = fmt::format("{{{}{}{}}}", labels,
+                            labels.empty() || extra.empty() ? "" : ",", extra);
   }
-  return fmt::format("{}{}{} {}\n", kPrefix, name, braces, value);
+  return fmt::format("{}{}{} {}\n", kPrefix, name, label_set, value);
 }
 
 }  // namespace
 
 void metrics::Count(std::string_view name,
                     std::string_view labels,
-                    std::int64_t by) {
+                    std::int64_t increment) {
   shards_.With(name, [&](shard_state& state) {
-    state.counters[{std::string(name), std::string(labels)}] += by;
+    state.counters[{std::string(name), std::string(labels)}] += increment;
   });
 }
 
@@ -78,20 +81,21 @@
     };
     for (const auto& [key, value] : state.counters) {
       type_line(key.first, "counter");
-      text += Line(key.first, key.second, value);
+      text += FormatSample(key.first, key.second, value);
     }
     for (const auto& [key, value] : state.gauges) {
       type_line(key.first, "gauge");
-      text += Line(key.first, key.second, value);
+      text += FormatSample(key.first, key.second, value);
     }
     for (const auto& [key, summary] : state.latencies) {
       type_line(key.first, "summary");
       for (const double q : {0.5, 0.9, 0.99, 0.999}) {
-        text += Line(key.first, key.second, summary.quantile_seconds(q),
-                     fmt::format("quantile=\"{}\"", q));
+        text += FormatSample(key.first, key.second, summary.quantile_seconds(q),
+                             fmt::format("quantile=\"{}\"", q));
       }
-      text += Line(key.first + "_count", key.second, summary.count());
-      text += Line(key.first + "_sum", key.second, summary.sum_seconds());
+      text += FormatSample(key.first + "_count", key.second, summary.count());
+      text +=
+          FormatSample(key.first + "_sum", key.second, summary.sum_seconds());
     }
   });
   return text;
--- a/src/libsamphire/metrics/metrics.h
+++ b/src/libsamphire/metrics/metrics.h
@@ -13,26 +13,31 @@
 
 namespace samphire {
 
-// The counters, gauges and latency summaries of one process, by name and
-// labels. `labels` is ready Prometheus text such as `reason="queue-full"`.
+// The counters, gauges and latency summaries of one process, identified by name
+// and labels. Names are given without the prefix "samphire_"; `labels` is
+// Prometheus text such as `reason="queue-full"`. Thread-safe.
 class metrics {
  public:
+  // Adds to a counter, which starts at 0.
   void Count(std::string_view name,
              std::string_view labels = {},
-             std::int64_t by = 1);
+             std::int64_t increment = 1);
+  // Sets the value of a gauge.
   void Set(std::string_view name, std::string_view labels, double value);
+  // Adds a latency to a summary, which is exported in seconds.
   void Observe(std::string_view name,
                std::string_view labels,
                duration latency);
 
-  // One refusal told to a caller or peer, counted by its reason.
+  // Counts a refusal sent to a caller or peer, labelled with its reason.
   void CountRefusal(result_code reason);
-  // One further attempt, counted by the reason that made it necessary.
+  // Counts a retry, labelled with the failure that made it necessary.
   void CountRetry(result_code reason);
 
+  // Returns the value of a counter, or 0 if it does not exist.
   std::int64_t counter(std::string_view name, std::string_view labels = {});
 
-  // Everything as Prometheus text.
+  // Returns all metrics in the Prometheus text format.
   std::string Render();
 
  private:
--- a/src/libsamphire/traffic/placement_client.cc
+++ b/src/libsamphire/traffic/placement_client.cc
@@ -44,7 +44,7 @@
 std::optional<remote_placement_response> placement_client::RequestPlacement(
     const std::string& owner_address,
     remote_placement_request request) {
-  if (unresponsive_.IsPaused(owner_address, clock_.now()))
+  if (unresponsive_.IsBackingOff(owner_address, clock_.now()))
     return std::nullopt;
   request.id = next_id_++;
   pending_.Register(request.id, request.service);
@@ -54,7 +54,8 @@
       request.id, sent ? ResponseTimeout(request) : milliseconds{0});
   if (!response) {
     metrics_.Count("placing_unanswered_total");
-    unresponsive_.Pause(owner_address, clock_.now() + kUnresponsivePause);
+    unresponsive_.StartBackoff(owner_address,
+                               clock_.now() + kUnresponsivePause);
   }
   return response;
 }
--- a/src/libsamphire/traffic/placement_client.h
+++ b/src/libsamphire/traffic/placement_client.h
@@ -6,8 +6,8 @@
 #include <optional>
 #include <string>
 
+#include "base/backoff_list.h"
 #include "base/clock_source.h"
-#include "base/pause_list.h"
 #include "metrics/metrics.h"
 #include "peer/peer_transport.h"
 #include "peer/response_waiter.h"
@@ -52,7 +52,7 @@
   const clock_source& clock_;
   metrics& metrics_;
   std::atomic<std::uint64_t> next_id_;
-  pause_list unresponsive_;
+  backoff_list unresponsive_;
   // The context is the service, which is needed to end the lease granted by a
   // late response.
   response_waiter<remote_placement_response, std::string> pending_;
--- a/src/libsamphire/traffic/shared_store.cc
+++ b/src/libsamphire/traffic/shared_store.cc
@@ -159,7 +159,7 @@
   peer_responses responses{.batch = MakeError(result_code::kStoreUnreachable,
                                               "no peer has a fresh copy")};
   for (const auto& peer : peers) {
-    if (pauses_.IsPaused(peer, clock_.now()))
+    if (pauses_.IsBackingOff(peer, clock_.now()))
       continue;
     auto batch = QueryPeer(peer, request,
                            milliseconds(request.wait_ms) + kPeerResponseMargin);
@@ -171,7 +171,7 @@
         batch.error().code == result_code::kPeerDeclined;
     responses.stale |= has_no_fresh_copy;
     responses.unreachable |= !has_no_fresh_copy;
-    pauses_.Pause(
+    pauses_.StartBackoff(
         peer,
         clock_.now() + (has_no_fresh_copy ? kStalePause : kUnresponsivePause));
   }
--- a/src/libsamphire/traffic/shared_store.h
+++ b/src/libsamphire/traffic/shared_store.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
+#include "base/backoff_list.h"
 #include "base/clock_source.h"
-#include "base/pause_list.h"
 #include "gateway/peer_signer.h"
 #include "proxy/connection_pool.h"
 #include "store/object_relay.h"
@@ -97,7 +97,7 @@
   // watcher for it.
   const time_point discovery_ends_at_;
   // Peers that recently failed, by address.
-  pause_list pauses_;
+  backoff_list pauses_;
   // Guards fallbacks_, which is keyed by prefix.
   std::mutex fallbacks_lock_;
   std::map<std::string, platform_fallback> fallbacks_;
--- a/src/libsamphire/traffic/team_limiter.cc
+++ b/src/libsamphire/traffic/team_limiter.cc
@@ -182,7 +182,7 @@
 std::optional<permit_response> team_limiter::RequestPermit(
     const std::string& address,
     const std::string& team) {
-  if (unresponsive_.IsPaused(address, clock_.now()))
+  if (unresponsive_.IsBackingOff(address, clock_.now()))
     return std::nullopt;
   const permit_request request{.id = next_id_++, .team = team};
   pending_.Register(request.id, team);
@@ -192,7 +192,7 @@
       pending_.Await(request.id, sent ? kResponseTimeout : milliseconds{0});
   if (!response) {
     metrics_.Count("permits_unanswered_total");
-    unresponsive_.Pause(address, clock_.now() + kUnresponsivePause);
+    unresponsive_.StartBackoff(address, clock_.now() + kUnresponsivePause);
   }
   return response;
 }
--- a/src/libsamphire/traffic/team_limiter.h
+++ b/src/libsamphire/traffic/team_limiter.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <utility>
 
+#include "base/backoff_list.h"
 #include "base/clock_source.h"
-#include "base/pause_list.h"
 #include "base/sharded.h"
 #include "metrics/metrics.h"
 #include "peer/peer_transport.h"
@@ -121,7 +121,7 @@
   const clock_source& clock_;
   metrics& metrics_;
   std::atomic<std::uint64_t> next_id_;
-  pause_list unresponsive_;
+  backoff_list unresponsive_;
   response_waiter<permit_response, std::string> pending_;
   sharded<team_map> teams_;
   // When this entry started.
--- a/tests/base/log_schema_test.cc
+++ b/tests/base/log_schema_test.cc
@@ -4,7 +4,7 @@
 
 using namespace samphire;
 
-TEST_CASE("the manual's table judges log lines") {
+TEST_CASE("log lines are validated against the table in the manual") {
   const log_schema schema(SAMPHIRE_SOURCE_DIR "/docs/LOGS.md");
   CHECK(schema.event_count() > 20);
   const std::string head =
--- a/tests/base/result_code_test.cc
+++ b/tests/base/result_code_test.cc
@@ -32,7 +32,7 @@
   for (const auto& info : ResultCodeTable()) {
     expected.insert(fmt::format(
         "| {} | {} | {} | {} | {} |", static_cast<int>(info.code), info.name,
-        info.http_status, info.come_back ? "yes" : "no", info.meaning));
+        info.http_status, info.retryable ? "yes" : "no", info.meaning));
   }
   CHECK(documented == expected);
 }
--- a/tests/config/config_properties_test.cc
+++ b/tests/config/config_properties_test.cc
@@ -20,7 +20,7 @@
   return std::string(kind) + std::to_string(number);
 }
 
-// Changes every field of an example within its bounds.
+// Returns an example declaration with fields set to random valid values.
 declaration GeneratedDeclaration() {
   auto made =
       Example(*rc::gen::element<std::string>("nivel-claro", "consortium"));
@@ -57,6 +57,7 @@
   return made;
 }
 
+// Applies a few random deletions, insertions, copies and byte changes.
 std::string Mutated(std::string text) {
   static const std::vector<std::string> pieces{
       "{",    "}",     "[",  "]",  "\"",   ",",       ":", "null", "1e999",
@@ -82,8 +83,10 @@
   return text;
 }
 
+// Asserts that reading succeeded or failed with a documented code and a detail
+// or a pointer.
 template <typename T>
-void CheckIsReadOrNumbered(const result<T>& read) {
+void CheckAcceptedOrCoded(const result<T>& read) {
   if (read.has_value())
     return;
   const auto number = static_cast<int>(read.error().code);
@@ -94,7 +97,7 @@
 
 }  // namespace
 
-TEST_CASE("what is written reads back equal and is written the same again") {
+TEST_CASE("declarations round-trip and are written canonically") {
   CHECK(rc::check([] {
     const auto declared = GeneratedDeclaration();
     const auto text = WriteDeclaration(declared);
@@ -105,19 +108,21 @@
   }));
 }
 
-// Files are cut short by a full disk, joined by a bad merge, or come from
-// someone who means harm. Reading must end in an answer with a number.
-TEST_CASE("damaged files give a declaration or a numbered refusal") {
+// Files may be truncated by a full disk, corrupted by a bad merge, or
+// malicious. Reading must always yield a declaration or an error with a result
+// code.
+TEST_CASE("damaged files yield a declaration or a result code") {
   CHECK(rc::check([] {
     const auto text = Mutated(ExampleText(
         *rc::gen::element<std::string>("nivel-claro", "consortium")));
-    CheckIsReadOrNumbered(ReadDeclaration(text, kTestNow));
+    CheckAcceptedOrCoded(ReadDeclaration(text, kTestNow));
   }));
 }
 
-// A caller spells the path of an acknowledgement with any of its letters
-// encoded. The class, and with it "runs at most once", must stay the same.
-TEST_CASE("encoding any letter of a path leaves its class the same") {
+// A caller may percent-encode any letter of an acknowledgement's path. The
+// request must still match the same class, and so keep its at-most-once
+// semantics.
+TEST_CASE("percent-encoding letters of a path does not change its class") {
   const auto declared = Example("nivel-claro").services[1];
   const std::string plain = "/gates/comporta-7/acknowledgement";
   const auto* expected = MatchClass(declared, "POST", plain);
@@ -134,7 +139,7 @@
   }));
 }
 
-TEST_CASE("small texts of any bytes are read or refused, never worse") {
+TEST_CASE("arbitrary short texts are parsed or refused without a crash") {
   CHECK(rc::check([] {
     const auto letters = std::string("0123456789abf.:/[]TZ-%*\xff ") + '\0';
     const auto text =
@@ -152,7 +157,7 @@
   }));
 }
 
-TEST_CASE("damaged settings and drains are read or refused by number") {
+TEST_CASE("damaged settings and drains are read or refused with a code") {
   const std::string settings =
       R"({"instance":"e","region":"r","failure_domain":"f",
 "caller_address":"127.0.0.1:1","operator_address":"127.0.0.1:2",
@@ -162,7 +167,7 @@
   const auto drain_text = WriteDrain(
       {"d", drain_scope::kRegion, "r", kTestNow, kTestNow + milliseconds(1)});
   CHECK(rc::check([&] {
-    CheckIsReadOrNumbered(ReadEntrySettings(Mutated(settings)));
-    CheckIsReadOrNumbered(ReadDrain(Mutated(drain_text)));
+    CheckAcceptedOrCoded(ReadEntrySettings(Mutated(settings)));
+    CheckAcceptedOrCoded(ReadDrain(Mutated(drain_text)));
   }));
 }
--- a/tests/config/config_test_support.h
+++ b/tests/config/config_test_support.h
@@ -11,8 +11,11 @@
 
 namespace samphire {
 
+// The current time in tests of drains.
 inline const wall_time kTestNow = *ParseWallTime("2026-12-02T08:00:00Z");
 
+// Returns the contents of a file in the source tree; throws if it is
+// unreadable.
 inline std::string RepositoryText(const std::string& path) {
   return ReadFileText(SAMPHIRE_SOURCE_DIR "/" + path, kMaxJsonBytes).value();
 }
@@ -21,6 +24,7 @@
   return RepositoryText("examples/" + name + ".json");
 }
 
+// Returns a declaration from examples/, read as of kTestNow.
 inline declaration Example(const std::string& name) {
   return ReadDeclaration(ExampleText(name), kTestNow).value();
 }
--- a/tests/config/declaration_test.cc
+++ b/tests/config/declaration_test.cc
@@ -16,18 +16,20 @@
 
 struct example_size {
   std::string file;
-  std::map<std::string, std::size_t> workers;
+  std::map<std::string, std::size_t> target_counts;
   std::set<std::uint32_t> slots;
   microseconds between_regions;
 };
 
-struct unsound {
+// A change that makes a declaration invalid, and the expected error.
+struct invalid_declaration {
   result_code code;
   std::string pointer;
   std::function<void(declaration&)> change;
 };
 
-struct misshapen {
+// A replacement that violates the schema or format, and the expected error.
+struct malformed_text {
   result_code code;
   std::string pointer;
   std::string from;
@@ -48,7 +50,7 @@
 
 }  // namespace
 
-TEST_CASE("the examples have the sizes that their users run") {
+TEST_CASE("the examples have the sizes of the deployments they represent") {
   const example_size sizes[] = {
       {"nivel-claro",
        {{"painel-nivel", 20},
@@ -67,18 +69,18 @@
   };
   for (const auto& size : sizes) {
     const auto declared = Example(size.file);
-    std::map<std::string, std::size_t> workers;
+    std::map<std::string, std::size_t> target_counts;
     std::set<std::uint32_t> slots;
     std::set<std::string> failure_domains;
     for (const auto& service : declared.services) {
-      workers[service.name] = service.targets.size();
+      target_counts[service.name] = service.targets.size();
       for (const auto& target : service.targets) {
         slots.insert(target.slots);
         failure_domains.insert(target.failure_domain);
         CHECK(target.connections == 350);
       }
     }
-    CHECK(workers == size.workers);
+    CHECK(target_counts == size.target_counts);
     CHECK(slots == size.slots);
     CHECK(failure_domains.size() == 6);
     CHECK(declared.regions.size() == 3);
@@ -88,17 +90,17 @@
   }
 }
 
-TEST_CASE("the schemas in docs and in the program are the same") {
+TEST_CASE("the embedded schemas equal those in docs") {
   CHECK(RepositoryText("docs/declaration.schema.json") == kDeclarationSchema);
   CHECK(RepositoryText("docs/settings.schema.json") == kSettingsSchema);
 }
 
-// A file names a region that is not there, caps a region towards itself, or
-// leaves out a deadline. Were it accepted, callers would meet the mistake
-// under load; the operator sees a code and a pointer instead.
-TEST_CASE("each unsound declaration is refused with its code and pointer") {
+// A file refers to an undeclared region, caps a region towards itself, or omits
+// a deadline. If it were accepted, the mistake would affect callers under load;
+// instead, the operator gets a code and a pointer.
+TEST_CASE("each invalid declaration is refused with its code and pointer") {
   using enum result_code;
-  const unsound cases[] = {
+  const invalid_declaration cases[] = {
       {kDuplicateName, "/regions/1/name",
        [](auto& d) { d.regions[1].name = "sul-poa"; }},
       {kDuplicateName, "/regions/1/failure_domains/0",
@@ -188,11 +190,11 @@
   }
 }
 
-// A field is misspelt, such as "repeatble": were it passed over, an
+// A field name is misspelt, such as "repeatble". If it were ignored, an
 // acknowledgement would be retried and run twice.
-TEST_CASE("each misshapen text is refused with its code and pointer") {
+TEST_CASE("each malformed text is refused with its code and pointer") {
   using enum result_code;
-  const misshapen cases[] = {
+  const malformed_text cases[] = {
       {kUnknownField, "/services/0/classes/0/repeatble", "\"repeatable\": true",
        "\"repeatable\": true, \"repeatble\": true"},
       {kUnknownField, "/it's ~1 odd", "\"name\"",
@@ -237,8 +239,10 @@
   }
 }
 
-// A long list of blocks is wrong near its end, or is too long.
-TEST_CASE("a fault deep in a long array is named by its own index") {
+// Long arrays are validated in slices. An error near the end of a long array
+// must be reported with its index in the whole array, and an array that is too
+// long must be refused.
+TEST_CASE("an error in a long array is reported with its own index") {
   auto declared = Example("consortium");
   for (std::uint8_t i = 0; i < 250; ++i) {
     for (const std::uint8_t j : {1, 2, 3}) {
@@ -265,11 +269,11 @@
   CHECK(too_many.error().pointer == "/regions");
 }
 
-// The operator applies last month's file, whose drain has passed: it would
-// take effect at once and in full. But a drain that was accepted in time stays
-// readable after it, or an entry started a minute later would have no
-// configuration.
-TEST_CASE("a passed drain is refused when new and kept when in force") {
+// The operator applies last month's file, in which a drain has expired: the
+// drain would take effect immediately and cut all affected work. But a drain
+// accepted before its deadline must stay readable afterwards, or an entry
+// started a minute later would have no configuration.
+TEST_CASE("an expired drain is refused when new and kept when active") {
   auto declared = Example("consortium");
   declared.drains = {
       {"works", drain_scope::kRegion, "kandy", kTestNow - 2h, kTestNow - 1h}};
@@ -282,7 +286,7 @@
   CHECK(ReadAcceptedDeclaration(text).value() == declared);
 }
 
-TEST_CASE("one drain is read by itself") {
+TEST_CASE("a single drain is read without a declaration") {
   const drain declared{"works", drain_scope::kTarget, "claims-desk/w01",
                        kTestNow, kTestNow + 1500ms};
   CHECK(ReadDrain(WriteDrain(declared)).value() == declared);
--- a/tests/config/entry_settings_test.cc
+++ b/tests/config/entry_settings_test.cc
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("settings are read, and what is left out has its default") {
+TEST_CASE("settings are read, and omitted fields get their defaults") {
   const auto read = ReadEntrySettings(kSettings).value();
   CHECK(read.instance == "entry-1");
   CHECK(read.platform_addresses == std::vector<std::string>{"127.0.0.1:7000"});
@@ -33,9 +33,9 @@
   CHECK(read.idle_timeout == entry_settings{}.idle_timeout);
 }
 
-// The settings of an instance name a host instead of a number, or a field
-// that is not known: it would start and listen nowhere.
-TEST_CASE("wrong settings are refused with the place") {
+// Settings contain a host name instead of a numeric address, or an unknown
+// field. If they were accepted, the instance would start without listening.
+TEST_CASE("invalid settings are refused with a code or pointer") {
   CHECK(RefusalOf("127.0.1.1:8000", "entry:8000").pointer == "/caller_address");
   CHECK(RefusalOf("127.0.0.1:7000", "127.0.0.1:0").pointer ==
         "/platform_addresses/0");
--- a/tests/config/json_text_test.cc
+++ b/tests/config/json_text_test.cc
@@ -10,7 +10,8 @@
 struct bad_text {
   std::string text;
   result_code code;
-  // What the detail or the pointer must hold for an operator to find it.
+  // Text that the detail or the pointer must contain, so that an operator can
+  // locate the fault.
   std::string place;
 };
 
@@ -21,9 +22,9 @@
 
 }  // namespace
 
-// An operator saves a broken or wrong file. They see a number and the place,
-// and nothing of the file comes into force.
-TEST_CASE("each kind of unreadable text has its code and its place") {
+// An operator submits a corrupt or wrong file. The error must hold a result
+// code and the location of the fault, and no part of the file may take effect.
+TEST_CASE("each kind of unreadable text has its code and location") {
   using enum result_code;
   const std::string long_text(kMaxJsonStringBytes + 1, 'x');
   const bad_text cases[] = {
@@ -62,12 +63,12 @@
     REQUIRE(read.has_error());
     INFO(read.error().detail << " at " << read.error().pointer);
     CHECK(NameOf(read.error().code) == NameOf(one.code));
-    const auto said = read.error().detail + " " + read.error().pointer;
-    CHECK(said.find(one.place) != std::string::npos);
+    const auto message = read.error().detail + " " + read.error().pointer;
+    CHECK(message.find(one.place) != std::string::npos);
   }
 }
 
-TEST_CASE("texts at the bounds are read") {
+TEST_CASE("texts within the bounds are read") {
   CHECK(ReadJsonText(Nested(kMaxJsonDepth)).has_value());
   CHECK(ReadJsonText("{\"a\":18446744073709551615}").has_value());
   CHECK(ReadJsonText(" {\"\xc3\xa1gua\":\"n\xc3\xadvel \xf0\x9f\x8c\xa7\"} \n")
@@ -75,8 +76,8 @@
 }
 
 // Eight megabytes of empty objects would take gigabytes once parsed, and the
-// entry that an operator sends them to would die with them.
-TEST_CASE("a text of very many small values is refused") {
+// entry that an operator sends them to would run out of memory.
+TEST_CASE("a text with too many values is refused") {
   std::string text = "{\"a\":[";
   for (std::size_t i = 0; i < kMaxJsonValues; ++i)
     text += "{},";
--- a/tests/metrics/metrics_test.cc
+++ b/tests/metrics/metrics_test.cc
@@ -19,7 +19,7 @@
       std::string::npos);
 }
 
-TEST_CASE("quantiles of a uniform stream are near the truth") {
+TEST_CASE("quantile estimates of a uniform stream are accurate") {
   latency_summary summary;
   for (int i = 0; i < 10000; ++i)
     summary.Add(std::chrono::microseconds((i * 7919) % 10000));
--- a/tests/process/fleet_plan.cc
+++ b/tests/process/fleet_plan.cc
@@ -50,10 +50,10 @@
   planned.name = "test";
   planned.regions = {{.name = "east",
                       .failure_domains = {"east-1", "east-2"},
-                      .seats = kSeats},
+                      .partition_count = kSeats},
                      {.name = "west",
                       .failure_domains = {"west-1", "west-2"},
-                      .seats = kSeats}};
+                      .partition_count = kSeats}};
   planned.latencies = {
       {.from = "east", .to = "west", .one_way = microseconds(1000)}};
   for (int region = 1; region <= 2; ++region) {
