--- a/tests/platform_adapter/platform_entry_test.cc
+++ b/tests/platform_adapter/platform_entry_test.cc
@@ -30,6 +30,8 @@
 
 const std::string kKey = "0123456789abcdef0123456789abcdef";
 
+// Settings of an entry without start-up delays, on free local ports, with a
+// team limit that may be exceeded by 20 requests.
 platform_settings Settings(const std::string& store) {
   platform_settings settings;
   auto& traffic = settings.traffic;
@@ -47,14 +49,17 @@
   return settings;
 }
 
-struct answer {
+// The parts of a response that tests check; `stamp` names the target that
+// served it.
+struct call_response {
   int status = 0;
   std::string body;
   std::string stamp;
   std::string retry_after;
 };
 
-struct call {
+// A request of a caller. `deadline` is the time left to it, in milliseconds.
+struct call_request {
   std::string method = "GET";
   std::string path = "/read/x";
   std::string body;
@@ -62,19 +67,19 @@
   std::vector<std::pair<std::string, std::string>> headers;
 };
 
-answer Ask(const std::string& address, const call& what) {
+call_response SendCall(const std::string& address, const call_request& input) {
   Poco::Net::HTTPClientSession session{Poco::Net::SocketAddress(address)};
-  Poco::Net::HTTPRequest request(what.method, what.path, "HTTP/1.1");
+  Poco::Net::HTTPRequest request(input.method, input.path, "HTTP/1.1");
   request.setHost("h.example");
   request.set("Request-Id", "id-1");
   request.set("Affinity-Key", "17");
-  request.set("Request-Deadline", what.deadline);
-  for (const auto& [name, value] : what.headers)
+  request.set("Request-Deadline", input.deadline);
+  for (const auto& [name, value] : input.headers)
     request.add(name, value);
-  request.setContentLength(static_cast<std::streamsize>(what.body.size()));
-  session.sendRequest(request) << what.body;
+  request.setContentLength(static_cast<std::streamsize>(input.body.size()));
+  session.sendRequest(request) << input.body;
   Poco::Net::HTTPResponse response;
-  answer got;
+  call_response got;
   Poco::StreamCopier::copyToString(session.receiveResponse(response), got.body);
   got.status = response.getStatus();
   got.stamp = response.get("Server-Stamp", "");
@@ -82,28 +87,30 @@
   return got;
 }
 
+// Whether the condition becomes true within 10 s.
 bool Eventually(const std::function<bool()>& holds) {
   return WaitUntil(holds, 10s);
 }
 
-// One entry, the platform's store and four targets, two of each service.
-struct rig {
-  stand_in_platform world;
+// One entry, a stand-in of the platform's store and four targets, two for each
+// of the services "reads" and "writes".
+struct test_setup {
+  stand_in_platform stand_in;
   wire_target read_1{"i-read-1"};
   wire_target read_2{"i-read-2"};
   wire_target write_1{"i-write-1"};
   wire_target write_2{"i-write-2"};
-  platform_settings settings = Settings(world.address());
+  platform_settings settings = Settings(stand_in.address());
   std::unique_ptr<platform_entry> entry;
 
-  rig() {
-    world.Write("config/main", ManifestObject("00000003"));
+  test_setup() {
+    stand_in.Write("config/main", ManifestObject("00000003"));
     for (auto* target : {&read_1, &read_2})
-      world.Write("servers/" + target->id(),
-                  TargetObject(target->address(), "reads"));
+      stand_in.Write("servers/" + target->id(),
+                     TargetObject(target->address(), "reads"));
     for (auto* target : {&write_1, &write_2})
-      world.Write("servers/" + target->id(),
-                  TargetObject(target->address(), "writes"));
+      stand_in.Write("servers/" + target->id(),
+                     TargetObject(target->address(), "writes"));
   }
   void Start() {
     entry = std::make_unique<platform_entry>(
@@ -115,26 +122,28 @@
     REQUIRE(Eventually([&] { return Ready(); }));
   }
   bool Ready() const {
-    return Ask(settings.traffic.readiness_address,
-               {.path = "/samphirewinch/ready"})
+    return SendCall(settings.traffic.readiness_address,
+                    {.path = "/samphirewinch/ready"})
                .status == 200;
   }
-  answer Request(const call& what = {}) const {
-    return Ask(settings.traffic.caller_address, what);
+  call_response Request(const call_request& input = {}) const {
+    return SendCall(settings.traffic.caller_address, input);
   }
-  answer RequestWithKey(const std::string& key,
-                        const std::string& path = "/read/x") const {
+  call_response RequestWithKey(const std::string& key,
+                               const std::string& path = "/read/x") const {
     return Request({.path = path, .headers = {{"Credential", key}}});
   }
-  wire_target& Reader(const std::string& stamp) {
+  // Returns the target of "reads" that sent the stamp.
+  wire_target& TargetWithStamp(const std::string& stamp) {
     return stamp == "stamp.i-read-1" ? read_1 : read_2;
   }
 };
 
 }  // namespace
 
-TEST_CASE("a request goes the whole path and comes back unchanged") {
-  rig r;
+TEST_CASE(
+    "a request is forwarded to a target and its response returned unchanged") {
+  test_setup r;
   r.StartReady();
   const auto got = r.Request({.path = "/read/x?a=1", .body = "question"});
   CHECK(got.status == 200);
@@ -144,20 +153,20 @@
       r.Request({.method = "POST", .path = "/write/y", .body = "claim"}).body ==
       "POST /write/y claim");
   CHECK(r.Request({.path = "/nowhere/"}).status == 404);
-  const auto lookup =
-      Ask(r.settings.traffic.lookup_address,
-          {.path = "/samphirewinch/resolve?name=h.example&region=a&zone=a-1"});
+  const auto lookup = SendCall(
+      r.settings.traffic.lookup_address,
+      {.path = "/samphirewinch/resolve?name=h.example&region=a&zone=a-1"});
   CHECK(lookup.body == "{\"addrs\":[\"" + r.settings.traffic.caller_address +
                            "\"],\"ttl\":\"2000ms\"}");
-  CHECK(Ask(r.settings.traffic.metrics_address, {.path = "/metrics"})
+  CHECK(SendCall(r.settings.traffic.metrics_address, {.path = "/metrics"})
             .body.find("store_calls_total") != std::string::npos);
 }
 
-// A field station uploads a season's readings while others do the same. Held
-// whole, a few such bodies fill an instance's memory, and it is killed with
-// everything that it serves.
-TEST_CASE("a long upload reaches its target before it has left its caller") {
-  rig r;
+// Guards against buffering a whole request body. A few large uploads at the
+// same time would fill the memory of an instance, which is then killed together
+// with all requests that it serves.
+TEST_CASE("a long upload is forwarded before it is complete") {
+  test_setup r;
   r.StartReady();
   const std::string half(500'000, 'u');
   Poco::Net::HTTPClientSession session{
@@ -184,13 +193,13 @@
   CHECK_FALSE(response.getKeepAlive());
 }
 
-// No target would take the upload. Its caller is told so and when to come back,
-// though it is still sending.
-TEST_CASE("a long upload that is not taken is refused as not run") {
-  rig r;
+// Every target sheds the request. The caller must receive a refusal with a
+// Retry-After, although it is still sending the body.
+TEST_CASE("a long upload that every target sheds is refused as not run") {
+  test_setup r;
   r.StartReady();
-  r.write_1.mood = target_mood::kShed;
-  r.write_2.mood = target_mood::kShed;
+  r.write_1.behavior = target_behavior::kShed;
+  r.write_2.behavior = target_behavior::kShed;
   const auto got = r.Request({.method = "POST",
                               .path = "/write/y",
                               .body = std::string(1'000'000, 'u')});
@@ -199,18 +208,19 @@
   CHECK(r.write_1.runs + r.write_2.runs == 0);
 }
 
-// The operator adds a failure domain and shortens how long look-ups are kept.
-// An entry that reads its settings at its start only would leave the targets
-// there idle until somebody restarts it.
-TEST_CASE("settings that change are in force without a restart") {
-  rig r;
+// The operator adds a failure domain and shortens the time for which look-ups
+// may be cached. An entry that reads its settings only when it starts would
+// leave the targets of the new domain idle until it is restarted.
+TEST_CASE("changed settings are applied without a restart") {
+  test_setup r;
   r.StartReady();
   wire_target moved{"i-new-1"};
   for (auto* target : {&r.read_1, &r.read_2})
-    r.world.Write("servers/" + target->id(),
-                  TargetObject(target->address(), "reads", "draining"));
-  r.world.Write("servers/" + moved.id(),
-                Replaced(TargetObject(moved.address(), "reads"), "a-1", "a-2"));
+    r.stand_in.Write("servers/" + target->id(),
+                     TargetObject(target->address(), "reads", "draining"));
+  r.stand_in.Write(
+      "servers/" + moved.id(),
+      Replaced(TargetObject(moved.address(), "reads"), "a-1", "a-2"));
   CHECK(Eventually([&] { return r.Request().status == 503; }));
   auto settings = r.settings;
   settings.regions["a-2"] = "a";
@@ -218,102 +228,104 @@
   r.entry->Apply(settings);
   CHECK(Eventually([&] { return r.Request().status == 200; }));
   CHECK(moved.runs > 0);
-  const auto lookup =
-      Ask(r.settings.traffic.lookup_address,
-          {.path = "/samphirewinch/resolve?name=h.example&region=a&zone=a-1"});
+  const auto lookup = SendCall(
+      r.settings.traffic.lookup_address,
+      {.path = "/samphirewinch/resolve?name=h.example&region=a&zone=a-1"});
   CHECK(lookup.body.find("\"700ms\"") != std::string::npos);
 }
 
-TEST_CASE("requests with one key stay at one target") {
-  rig r;
+TEST_CASE("requests with one affinity key go to one target") {
+  test_setup r;
   r.StartReady();
   for (int i = 0; i < 6; ++i)
     r.Request();
   CHECK((r.read_1.runs == 6 || r.read_2.runs == 6));
 }
 
-// An entry that starts in an outage of the store knows no route at all. A 404
-// would tell callers that what they ask for does not exist.
-TEST_CASE("an entry without a configuration says to come back, not 404") {
-  rig r;
-  r.world.refuse_with = 503;
+// An entry that starts during an outage of the store knows no routes. A 404
+// response would tell callers that the requested resource does not exist.
+TEST_CASE("an entry without a configuration responds with 503, not 404") {
+  test_setup r;
+  r.stand_in.refuse_with = 503;
   r.Start();
   std::this_thread::sleep_for(200ms);
   CHECK_FALSE(r.Ready());
   const auto got = r.Request();
   CHECK(got.status == 503);
   CHECK_FALSE(got.retry_after.empty());
-  r.world.refuse_with = 0;
+  r.stand_in.refuse_with = 0;
   CHECK(Eventually([&] { return r.Ready(); }));
 }
 
-// A target is full and says that it did not run the request. The caller of a
-// claim gets its answer from another target, and the claim is filed once.
-TEST_CASE("what a target did not run is run by another") {
-  rig r;
+// A target sheds a request and marks its response as not executed. Only then
+// may a request that is not idempotent be sent to another target; it runs once.
+TEST_CASE("a request that a target shed is run by another target") {
+  test_setup r;
   r.StartReady();
-  const call claim{.method = "POST", .path = "/write/y", .body = "claim"};
-  r.write_1.mood = target_mood::kShed;
+  const call_request claim{
+      .method = "POST", .path = "/write/y", .body = "claim"};
+  r.write_1.behavior = target_behavior::kShed;
   CHECK(r.Request(claim).status == 200);
   CHECK(r.write_2.runs == 1);
   CHECK(r.write_1.runs == 0);
-  r.write_2.mood = target_mood::kShed;
+  r.write_2.behavior = target_behavior::kShed;
   const auto refused = r.Request(claim);
   CHECK(refused.status == 503);
   CHECK_FALSE(refused.retry_after.empty());
 }
 
-// The target runs a claim and its answer is lost. Sent again, the claim would
-// be paid twice; called "not run", its caller would send it again.
+// A target runs a request that is not idempotent, and the response is lost. A
+// retry would run the request twice, such as paying a claim twice. A response
+// that says "not run" would cause the caller to send it again.
 TEST_CASE("a claim whose answer is lost runs once and is not called unrun") {
-  rig r;
+  test_setup r;
   r.StartReady();
-  r.write_1.mood = target_mood::kCut;
-  r.write_2.mood = target_mood::kCut;
+  r.write_1.behavior = target_behavior::kCloseWithoutResponse;
+  r.write_2.behavior = target_behavior::kCloseWithoutResponse;
   const auto got =
       r.Request({.method = "POST", .path = "/write/y", .body = "claim"});
   CHECK(got.status == 502);
   CHECK(r.write_1.runs + r.write_2.runs == 1);
 }
 
-TEST_CASE("a reading whose answer is lost is read elsewhere") {
-  rig r;
+TEST_CASE("an idempotent request whose response is lost is retried elsewhere") {
+  test_setup r;
   r.StartReady();
-  auto& home = r.Reader(r.Request().stamp);
-  home.mood = target_mood::kCut;
+  auto& home = r.TargetWithStamp(r.Request().stamp);
+  home.behavior = target_behavior::kCloseWithoutResponse;
   CHECK(r.Request().status == 200);
-  home.mood = target_mood::kFail;
+  home.behavior = target_behavior::kRespondWithError;
   CHECK(r.Request().status == 200);
 }
 
 TEST_CASE("when every target fails, the caller gets the target's own failure") {
-  rig r;
+  test_setup r;
   r.StartReady();
-  r.read_1.mood = target_mood::kFail;
-  r.read_2.mood = target_mood::kFail;
+  r.read_1.behavior = target_behavior::kRespondWithError;
+  r.read_2.behavior = target_behavior::kRespondWithError;
   const auto got = r.Request();
   CHECK(got.status == 500);
   CHECK(got.stamp.starts_with("stamp."));
 }
 
-// Another process took over a target's address; the entry that still has the
-// old one in its list must not let it run the request.
-TEST_CASE("a target that is another one now is passed over") {
-  rig r;
+// Another process has taken over a target's address. An entry that still lists
+// the previous target there must not have its requests run by the new one.
+TEST_CASE("a target whose address another process took over is skipped") {
+  test_setup r;
   r.StartReady();
-  auto& home = r.Reader(r.Request().stamp);
-  home.mood = target_mood::kMisdirect;
+  auto& home = r.TargetWithStamp(r.Request().stamp);
+  home.behavior = target_behavior::kWrongInstance;
   CHECK(r.Request().status == 200);
   const int arrivals = home.arrivals;
   CHECK(r.Request().status == 200);
   CHECK(home.arrivals == arrivals);
 }
 
-TEST_CASE("a request unanswered at its route's timeout is ended then") {
-  rig r;
+TEST_CASE("a request without a response is cancelled at its route's timeout") {
+  test_setup r;
   r.StartReady();
-  r.read_1.mood = target_mood::kHang;
-  r.read_2.mood = target_mood::kHang;
+  r.read_1.behavior = target_behavior::kHang;
+  r.read_2.behavior = target_behavior::kHang;
   const auto started = std::chrono::steady_clock::now();
   const auto got = r.Request({.deadline = "5000"});
   const auto took = std::chrono::steady_clock::now() - started;
@@ -324,13 +336,14 @@
       Eventually([&] { return r.read_1.cancelled + r.read_2.cancelled == 1; }));
 }
 
-// A caller gives up and closes. Its work would go on at the target, and in a
-// downpour most callers give up: the targets would work for nobody.
+// A caller closes its connection before the response. If its request went on at
+// the target, then under overload, when most callers cancel, the targets would
+// spend their capacity on requests that nobody waits for.
 TEST_CASE("the work of a caller that leaves is cancelled at once") {
-  rig r;
+  test_setup r;
   r.StartReady();
-  r.read_1.mood = target_mood::kHang;
-  r.read_2.mood = target_mood::kHang;
+  r.read_1.behavior = target_behavior::kHang;
+  r.read_2.behavior = target_behavior::kHang;
   {
     Poco::Net::StreamSocket caller{
         Poco::Net::SocketAddress(r.settings.traffic.caller_address)};
@@ -346,15 +359,17 @@
   CHECK(std::chrono::steady_clock::now() - left < 500ms);
 }
 
-// The entry was so short of processor time that its caller left before the
-// request was read. Sent on, it would be work that nobody waits for.
+// An entry that lacks processor time may read a request only after its caller
+// has closed the connection. If it forwarded the request, a target would spend
+// capacity on a request that nobody waits for.
 TEST_CASE("the request of a caller that has left is not sent on") {
-  rig r;
+  test_setup r;
   r.StartReady();
   for (int i = 0; i < 5; ++i) {
     Poco::Net::StreamSocket caller{
         Poco::Net::SocketAddress(r.settings.traffic.caller_address)};
-    // Corked, the request and the close leave in one piece.
+    // With TCP_CORK, the request and the end of the connection are sent in one
+    // segment.
     caller.setOption(IPPROTO_TCP, TCP_CORK, 1);
     const std::string bytes =
         "GET /read/x HTTP/1.1\r\nHost: h.example\r\nRequest-Id: z\r\n\r\n";
@@ -367,11 +382,11 @@
 }
 
 TEST_CASE("a target that says it leaves gets nothing more") {
-  rig r;
+  test_setup r;
   r.StartReady();
-  auto& home = r.Reader(r.Request().stamp);
-  r.world.Write("servers/" + home.id(),
-                TargetObject(home.address(), "reads", "draining"));
+  auto& home = r.TargetWithStamp(r.Request().stamp);
+  r.stand_in.Write("servers/" + home.id(),
+                   TargetObject(home.address(), "reads", "draining"));
   CHECK(Eventually([&] {
     const int before = home.runs;
     r.Request();
@@ -379,41 +394,43 @@
   }));
 }
 
-TEST_CASE("an evacuated failure domain gets nothing until it is taken back") {
-  rig r;
+TEST_CASE(
+    "an evacuated failure domain gets no requests until its evacuation ends") {
+  test_setup r;
   r.StartReady();
-  r.world.Write("evacuations/a-1", R"({"spec":{}})");
+  r.stand_in.Write("evacuations/a-1", R"({"spec":{}})");
   CHECK(Eventually([&] { return r.Request().status == 503; }));
-  r.world.Remove("evacuations/a-1");
+  r.stand_in.Remove("evacuations/a-1");
   CHECK(Eventually([&] { return r.Request().status == 200; }));
 }
 
-// A stale reader of the store hands out an older version after a newer one was
-// in force; callers of a route that was added would get 404 again.
+// A stale replica of the store may return an older manifest after a newer one
+// was applied. Callers of a route that was added would receive 404 again.
 TEST_CASE("an older configuration never replaces a newer one") {
-  rig r;
+  test_setup r;
   r.StartReady();
-  r.world.Write("config/main", R"({"spec":{"version":"00000009","listeners":[],
+  r.stand_in.Write("config/main",
+                   R"({"spec":{"version":"00000009","listeners":[],
     "clusters":[]}})");
   REQUIRE(Eventually([&] { return r.Request().status == 404; }));
-  r.world.Write("config/main", ManifestObject("00000004"));
+  r.stand_in.Write("config/main", ManifestObject("00000004"));
   std::this_thread::sleep_for(300ms);
   CHECK(r.Request().status == 404);
-  r.world.Write("config/main", ManifestObject("0000000a"));
+  r.stand_in.Write("config/main", ManifestObject("0000000a"));
   CHECK(Eventually([&] { return r.Request().status == 200; }));
 }
 
 // Targets trust the team header; a caller that could set it could impersonate
 // another team.
 TEST_CASE("a target receives the caller's team and never its API key") {
-  rig r;
-  r.world.Write("config/main", TeamManifestObject("00000004"));
+  test_setup r;
+  r.stand_in.Write("config/main", TeamManifestObject("00000004"));
   r.StartReady();
   const auto got = r.Request({.headers = {{"Credential", "key-2"},
                                           {"Tenant-Id", "team-2"},
                                           {"tenant-id", "team-3"}}});
   REQUIRE(got.status == 200);
-  auto headers = r.Reader(got.stamp).last_headers();
+  auto headers = r.TargetWithStamp(got.stamp).last_headers();
   CHECK(headers["Tenant-Id"] == "team-1");
   CHECK(headers.count("tenant-id") == 0);
   CHECK(headers.count("Credential") == 0);
@@ -421,8 +438,8 @@
 
 // Guards against running a request whose team is unknown or ambiguous.
 TEST_CASE("a request without exactly one known API key is refused") {
-  rig r;
-  r.world.Write("config/main", TeamManifestObject("00000004"));
+  test_setup r;
+  r.stand_in.Write("config/main", TeamManifestObject("00000004"));
   r.StartReady();
   CHECK(r.Request().status == 401);
   for (const auto* key : {"", "key-9", "key-1,key-1", "key-1 key-2", "KEY-1"})
@@ -437,24 +454,24 @@
 }
 
 TEST_CASE("a route that allows anonymous requests forwards no team") {
-  rig r;
-  r.world.Write("config/main", TeamManifestObject("00000004", true));
+  test_setup r;
+  r.stand_in.Write("config/main", TeamManifestObject("00000004", true));
   r.StartReady();
   const auto got = r.Request(
       {.headers = {{"Credential", "key-9"}, {"Tenant-Id", "team-1"}}});
   REQUIRE(got.status == 200);
-  const auto headers = r.Reader(got.stamp).last_headers();
+  const auto headers = r.TargetWithStamp(got.stamp).last_headers();
   CHECK(headers.count("Tenant-Id") == 0);
   CHECK(headers.count("Credential") == 0);
 }
 
 // Guards against a revoked API key staying valid until its connection closes.
 TEST_CASE("a revoked API key is refused on open connections") {
-  rig r;
+  test_setup r;
   // Polling must not use up a limit.
   const std::string limit = R"("ratePerS":50,"burst":20.5,)";
-  r.world.Write("config/main",
-                Replaced(TeamManifestObject("00000004"), limit, ""));
+  r.stand_in.Write("config/main",
+                   Replaced(TeamManifestObject("00000004"), limit, ""));
   r.StartReady();
   Poco::Net::HTTPClientSession session{
       Poco::Net::SocketAddress(r.settings.traffic.caller_address)};
@@ -471,26 +488,26 @@
     return static_cast<int>(response.getStatus());
   };
   REQUIRE(send_request() == 200);
-  r.world.Write("config/main",
-                Replaced(Replaced(TeamManifestObject("00000005"), limit, ""),
-                         R"("key-1",)", ""));
+  r.stand_in.Write("config/main",
+                   Replaced(Replaced(TeamManifestObject("00000005"), limit, ""),
+                            R"("key-1",)", ""));
   REQUIRE(Eventually([&] { return send_request() == 401; }));
   CHECK(r.RequestWithKey("key-2").status == 200);
 }
 
 // Guards against a retry after the API key is revoked during the first attempt.
 TEST_CASE("a revoked API key allows no further attempt") {
-  rig r;
-  r.world.Write("config/main", TeamManifestObject("00000004"));
+  test_setup r;
+  r.stand_in.Write("config/main", TeamManifestObject("00000004"));
   r.StartReady();
   for (auto* target : {&r.read_1, &r.read_2}) {
-    target->mood = target_mood::kCut;
+    target->behavior = target_behavior::kCloseWithoutResponse;
     target->work_ms = 500;
   }
   std::thread caller([&] { r.RequestWithKey("key-1"); });
   REQUIRE(Eventually([&] { return r.read_1.runs + r.read_2.runs == 1; }));
-  r.world.Write("config/main",
-                Replaced(TeamManifestObject("00000005"), R"("key-1",)", ""));
+  r.stand_in.Write("config/main",
+                   Replaced(TeamManifestObject("00000005"), R"("key-1",)", ""));
   caller.join();
   CHECK(r.read_1.runs + r.read_2.runs == 1);
 }
@@ -498,8 +515,8 @@
 // Guards against running a request outside the home regions of its team or
 // route: "team-2" is restricted to region "b", "/write/" to "a".
 TEST_CASE("a request without a common home region reaches no target") {
-  rig r;
-  r.world.Write("config/main", TeamManifestObject("00000004"));
+  test_setup r;
+  r.stand_in.Write("config/main", TeamManifestObject("00000004"));
   r.StartReady();
   CHECK(r.RequestWithKey("key-3", "/write/x").status == 503);
   CHECK(r.RequestWithKey("key-3", "/read/x").status == 503);
@@ -510,10 +527,10 @@
 // against refusals without a Retry-After.
 TEST_CASE(
     "a request beyond its team's limit is refused and reaches no target") {
-  rig r;
+  test_setup r;
   auto limited = Replaced(TeamManifestObject("00000004"), R"("ratePerS":50)",
                           R"("ratePerS":0.1)");
-  r.world.Write("config/main", limited);
+  r.stand_in.Write("config/main", limited);
   r.StartReady();
   int served = 0;
   while (served < 50 && r.RequestWithKey("key-1").status == 200)
@@ -524,48 +541,53 @@
   CHECK(refused.status == 429);
   CHECK_FALSE(refused.retry_after.empty());
   CHECK(r.read_1.arrivals + r.read_2.arrivals == served);
-  r.world.Write("config/main", TeamManifestObject("00000005"));
+  r.stand_in.Write("config/main", TeamManifestObject("00000005"));
   CHECK(Eventually([&] { return r.RequestWithKey("key-1").status == 200; }));
 }
 
-// An operator's mistake, or another writer's, must not take what is in force.
-TEST_CASE("a configuration that can't be read changes nothing") {
-  rig r;
+// An invalid object, by a mistake of the operator or of another writer, must
+// not replace the manifest and the targets in use.
+TEST_CASE("an invalid configuration changes nothing") {
+  test_setup r;
   r.StartReady();
-  r.world.Write("config/main", R"({"spec":{"version":"zz"}})");
-  r.world.Write("servers/i-forged", R"({"spec":7})");
+  r.stand_in.Write("config/main", R"({"spec":{"version":"zz"}})");
+  r.stand_in.Write("servers/i-forged", R"({"spec":7})");
   std::this_thread::sleep_for(300ms);
   CHECK(r.Request().status == 200);
 }
 
-// The store goes away for as long as it likes; what was known stays in force.
-TEST_CASE("requests are served on while the store is away") {
-  rig r;
+// However long the store is unavailable, the last known manifest and targets
+// stay in use.
+TEST_CASE("requests are still served while the store is unavailable") {
+  test_setup r;
   r.StartReady();
-  r.world.refuse_with = 503;
+  r.stand_in.refuse_with = 503;
   std::this_thread::sleep_for(500ms);
   CHECK(r.Request().status == 200);
   CHECK(r.Ready());
 }
 
-// Entries are restarted one after the other while the store is away. Each that
-// comes back knows nothing, and soon a whole region refuses every caller.
+// Entries are restarted one after the other while the store is unavailable. If
+// a restarted entry could not get the manifest and the targets from a peer,
+// soon all entries of a region would refuse every caller.
 TEST_CASE("an entry that starts while the store is away learns from a peer") {
-  rig r;
+  test_setup r;
   r.StartReady();
-  r.world.refuse_with = 503;
-  auto settings = Settings(r.world.address());
+  r.stand_in.refuse_with = 503;
+  auto settings = Settings(r.stand_in.address());
   settings.traffic.place.instance = "entry-2";
   settings.traffic.seeds = {r.settings.traffic.peer_address};
   platform_entry late(settings,
                       peer_keys::Parse(settings.traffic.peer_key).value());
   late.Start();
-  CHECK(Eventually(
-      [&] { return Ask(settings.traffic.caller_address, {}).status == 200; }));
+  CHECK(Eventually([&] {
+    return SendCall(settings.traffic.caller_address, {}).status == 200;
+  }));
 }
 
-TEST_CASE("a planned stop answers what runs and says at once that it leaves") {
-  rig r;
+TEST_CASE(
+    "a planned stop reports not ready at once and still serves requests") {
+  test_setup r;
   r.settings.traffic.bounds.lookup_ttl = 100ms;
   r.settings.traffic.bounds.stop_grace = 3000ms;
   r.StartReady();
--- a/tests/platform_adapter/platform_store_test.cc
+++ b/tests/platform_adapter/platform_store_test.cc
@@ -10,11 +10,11 @@
 
 namespace {
 
-struct rig {
-  stand_in_platform world;
+struct test_setup {
+  stand_in_platform stand_in;
   system_clock_source clock;
   metrics counters;
-  platform_store store{{.addresses = {world.address()}}, clock, counters};
+  platform_store store{{.addresses = {stand_in.address()}}, clock, counters};
 };
 
 const std::string kValue = R"({"spec":{"x":1}})";
@@ -22,7 +22,7 @@
 }  // namespace
 
 TEST_CASE("objects are created, replaced under their revision and deleted") {
-  rig r;
+  test_setup r;
   const auto created = r.store.Put("k/a", kValue, 0);
   REQUIRE(created);
   CHECK(r.store.Put("k/a", kValue, 0).error().code ==
@@ -36,17 +36,17 @@
   CHECK(r.store.Get("k/a").error().code == result_code::kStoreNotFound);
 }
 
-TEST_CASE("a watch from the start lists all pages, then tells changes") {
-  rig r;
-  r.world.page = 2;
+TEST_CASE("a watch from the start lists all pages, then reports changes") {
+  test_setup r;
+  r.stand_in.page_size = 2;
   for (const char* name : {"a", "b", "c", "d", "e"})
-    r.world.Write(std::string("k/") + name, kValue);
+    r.stand_in.Write(std::string("k/") + name, kValue);
   const auto all = r.store.Watch("k/", 0, 0ms);
   REQUIRE(all);
   CHECK(all.value().reset);
   CHECK(all.value().events.size() == 5);
-  r.world.Write("k/f", kValue);
-  r.world.Remove("k/b");
+  r.stand_in.Write("k/f", kValue);
+  r.stand_in.Remove("k/b");
   const auto more = r.store.Watch("k/", all.value().cursor, 1000ms);
   REQUIRE(more);
   CHECK_FALSE(more.value().reset);
@@ -55,30 +55,30 @@
   CHECK(more.value().events[1].version == 0);
 }
 
-// The store dropped its history while we were away. Going on from the old
-// revision would miss what changed in between.
+// The store may drop its history while an entry does not watch. If the watch
+// continued from the old revision, changes in between would be missed.
 TEST_CASE("lost history asks for a new listing") {
-  rig r;
-  r.world.Write("k/a", kValue);
-  r.world.history_gone = true;
+  test_setup r;
+  r.stand_in.Write("k/a", kValue);
+  r.stand_in.history_gone = true;
   const auto batch = r.store.Watch("k/", 1, 0ms);
   REQUIRE(batch);
   CHECK(batch.value().reset);
   CHECK(batch.value().cursor == 0);
 }
 
-// 429 and 503 are the store's word that nothing was done; a write whose answer
-// is lost may have been done and must not be called failed.
-TEST_CASE("a refused write had no effect, an unanswered one may have") {
-  rig r;
-  r.world.refuse_with = 429;
+// With 429 and 503 the store states that a write had no effect. A write whose
+// response is lost may have taken effect and must not be reported as failed.
+TEST_CASE("a refused write had no effect, one without a response may have") {
+  test_setup r;
+  r.stand_in.refuse_with = 429;
   CHECK(r.store.Put("k/a", kValue, 0).error().code ==
         result_code::kStoreUnreachable);
-  r.world.refuse_with = 503;
+  r.stand_in.refuse_with = 503;
   CHECK(r.store.Put("k/a", kValue, 0).error().code ==
         result_code::kStoreUnreachable);
-  r.world.refuse_with = 0;
-  r.world.lose_answers = 1;
+  r.stand_in.refuse_with = 0;
+  r.stand_in.lose_write_responses = 1;
   CHECK(r.store.Put("k/a", kValue, 0).error().code ==
         result_code::kStoreOutcomeUnknown);
   CHECK(r.store.Get("k/a"));
--- a/tests/platform_adapter/readers_test.cc
+++ b/tests/platform_adapter/readers_test.cc
@@ -62,8 +62,9 @@
   CHECK(manifest.value()->FindService("reads")->warm_up == 3s);
 }
 
-// Half a manifest in force would turn away callers of the other half.
-TEST_CASE("a manifest with a part that can't be read is refused whole") {
+// If only the valid part of a manifest were applied, callers of the routes in
+// the other part would be refused.
+TEST_CASE("a manifest with an invalid part is refused as a whole") {
   const auto whole = ManifestObject("0000001f");
   CHECK_FALSE(ReadManifest(Replaced(whole, R"("0000001f")", R"("new")")));
   CHECK_FALSE(ReadManifest(Replaced(whole, R"("kind":"safe",)", "")));
@@ -95,7 +96,8 @@
 
 // A partly loaded manifest could attribute requests to the wrong team or lock
 // out all callers.
-TEST_CASE("a manifest with conflicting or invalid teams is refused whole") {
+TEST_CASE(
+    "a manifest with conflicting or invalid teams is refused as a whole") {
   const auto whole = TeamManifestObject("01");
   const auto code_of = [&](const std::string& what, const std::string& by) {
     const auto read = ReadManifest(Replaced(whole, what, by));
@@ -119,14 +121,14 @@
   CHECK(rejected.error().detail.find("key-1") == std::string::npos);
 }
 
-TEST_CASE("an unknown kind of route is never repeated") {
+TEST_CASE("a route of an unknown kind is never retried") {
   const auto manifest = ReadManifest(Replaced(
       ManifestObject("01"), R"("kind":"safe")", R"("kind":"new-kind")"));
   REQUIRE(manifest);
   CHECK_FALSE(manifest.value()->FindRoute("h.example", "/read/x")->idempotent);
 }
 
-TEST_CASE("a target's entry is read") {
+TEST_CASE("a target object is read") {
   const auto target = Read(TargetObject("10.0.0.1:80", "reads"));
   REQUIRE(target);
   CHECK(target.value().region == "a");
@@ -136,9 +138,10 @@
       Read(TargetObject("10.0.0.1:80", "reads", "draining")).value().draining);
 }
 
-// Another writer, or a fault, leaves an entry with fields missing or of
-// another type. Taken half, it would name a target that is none.
-TEST_CASE("an entry with any field missing or re-typed names no target") {
+// Another writer or a fault may leave an object with fields that are missing or
+// of another type. If it were read in part, requests would go to a target that
+// does not exist.
+TEST_CASE("an object with a missing or mistyped field yields no target") {
   const auto whole = TargetObject("10.0.0.1:80", "reads");
   CHECK_FALSE(Read(Replaced(whole, R"("service":"reads")", R"("service":1)")));
   CHECK_FALSE(Read(Replaced(whole, R"("slots":4)", R"("slots":"4")")));
@@ -153,7 +156,7 @@
   CHECK_FALSE(Read(R"({"spec":{"info":null}})"));
 }
 
-TEST_CASE("the start that a target tells is kept") {
+TEST_CASE("the start time that a target states is kept") {
   const auto target =
       Read(Replaced(TargetObject("10.0.0.1:80", "reads"), R"("address")",
                     R"("born":1770000000000,"address")"));
@@ -174,9 +177,10 @@
   CHECK(ReadSettings("{").error().code == result_code::kJsonSyntax);
 }
 
-// Someone measures what a mechanism is worth and misspells it. Taken silently,
-// the run would be one with the mechanism on, and its figure a wrong one.
-TEST_CASE("placing goes without the mechanisms that settings name") {
+// Mechanisms are disabled to measure their benefit. If a misspelt name were
+// ignored, the measurement would run with the mechanism enabled and yield a
+// wrong figure.
+TEST_CASE("placement leaves out the mechanisms that settings disable") {
   CHECK(ReadSettings(kSettings).value().traffic.disabled_mechanisms.empty());
   const auto one = Replaced(kSettings, R"("bounds")",
                             R"("placing_without": ["region-plan"], "bounds")");
@@ -188,7 +192,7 @@
   CHECK(misspelt.error().pointer == "/placing_without");
 }
 
-TEST_CASE("a settings file tells when it was replaced") {
+TEST_CASE("a settings file reports that it was replaced") {
   const auto path = std::filesystem::temp_directory_path() /
                     ("samphire-settings-" + std::to_string(getpid()));
   std::ofstream(path) << "{";
@@ -203,9 +207,10 @@
   CHECK_FALSE(file.IsReplaced());
 }
 
-// A target said for how long it stays cold. Others come and go meanwhile, and
-// with each of them the list is read again; the time must not start anew.
-TEST_CASE("a target is cold for as long as it said, whatever others do") {
+// A target states how much longer it stays cold. The list of targets is read
+// again whenever another target appears or disappears, which must not restart
+// that time.
+TEST_CASE("a target's cold time does not restart when other targets change") {
   target_cache cache(kRegions);
   const auto cold =
       Replaced(TargetObject("10.0.0.1:80", "reads"), R"("0ms")", R"("2s")");
@@ -217,7 +222,7 @@
   CHECK(later[0].cold_until == kNow + 2s);
 }
 
-TEST_CASE("an entry that can't be read hides no other") {
+TEST_CASE("an invalid target object does not hide others") {
   target_cache cache(kRegions);
   const object_mirror::object_map entries = {
       {"servers/a", "junk"}, {"servers/b", TargetObject("10.0.0.2:80", "s")}};
--- a/tests/platform_adapter/stand_in_platform.cc
+++ b/tests/platform_adapter/stand_in_platform.cc
@@ -20,9 +20,11 @@
 
 namespace {
 
-const std::string kPath = "/samphirewinch/objects/";
+const std::string kObjectsUriPrefix = "/samphirewinch/objects/";
 
-std::string WithMeta(const store_object& object) {
+// Returns the JSON of an object as the platform sends it: with its name and its
+// revision.
+std::string WithMetadata(const store_object& object) {
   const auto name = object.key.substr(object.key.find('/') + 1);
   const auto json = ParseObject(object.value);
   Poco::JSON::Object whole(*json);
@@ -35,7 +37,7 @@
   return out.str();
 }
 
-struct answer {
+struct http_reply {
   int status = 200;
   std::string body;
 };
@@ -44,17 +46,17 @@
 
 class stand_in_platform_handler final : public Poco::Net::HTTPRequestHandler {
  public:
-  explicit stand_in_platform_handler(stand_in_platform& world)
-      : world_(world) {}
+  explicit stand_in_platform_handler(stand_in_platform& stand_in)
+      : platform_(stand_in) {}
 
   void handleRequest(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response) override {
-    ++world_.calls;
+    ++platform_.calls;
     std::string body;
     Poco::StreamCopier::copyToString(request.stream(), body);
     const auto reply = Serve(request, body);
-    if (request.getMethod() != "GET" && world_.lose_answers > 0) {
-      --world_.lose_answers;
+    if (request.getMethod() != "GET" && platform_.lose_write_responses > 0) {
+      --platform_.lose_write_responses;
       static_cast<Poco::Net::HTTPServerRequestImpl&>(request)
           .socket()
           .shutdown();
@@ -67,12 +69,12 @@
   }
 
  private:
-  answer Serve(const Poco::Net::HTTPServerRequest& request,
-               const std::string& body) {
-    if (world_.refuse_with != 0)
-      return {world_.refuse_with, "{}"};
+  http_reply Serve(const Poco::Net::HTTPServerRequest& request,
+                   const std::string& body) {
+    if (platform_.refuse_with != 0)
+      return {platform_.refuse_with, "{}"};
     const Poco::URI uri(request.getURI());
-    const auto key = uri.getPath().substr(kPath.size());
+    const auto key = uri.getPath().substr(kObjectsUriPrefix.size());
     std::map<std::string, std::string> query;
     for (const auto& [name, value] : uri.getQueryParameters())
       query[name] = value;
@@ -80,38 +82,39 @@
     if (request.getMethod() != "GET")
       return Write(request.getMethod(), key, query, body);
     if (!listing) {
-      const auto got = world_.objects_.Get(key);
-      return got ? answer{200, WithMeta(got.value())} : answer{404, "{}"};
+      const auto got = platform_.objects_.Get(key);
+      return got ? http_reply{200, WithMetadata(got.value())}
+                 : http_reply{404, "{}"};
     }
     return query.contains("watch") ? Watch(key + "/", query)
                                    : List(key + "/", query["after"]);
   }
 
-  answer List(const std::string& prefix, const std::string& after) {
+  http_reply List(const std::string& prefix, const std::string& after) {
     const auto cursor =
-        world_.objects_.Watch(prefix, 0, milliseconds{0}).value().cursor;
+        platform_.objects_.Watch(prefix, 0, milliseconds{0}).value().cursor;
     std::string items;
     std::size_t count = 0;
     bool more = false;
-    const auto objects = world_.objects_.List(prefix);
+    const auto objects = platform_.objects_.List(prefix);
     for (const auto& object : objects.value()) {
       if (!after.empty() && object.key <= prefix + after)
         continue;
-      if (count == world_.page) {
+      if (count == platform_.page_size) {
         more = true;
         break;
       }
-      items += (count++ > 0 ? "," : "") + WithMeta(object);
+      items += (count++ > 0 ? "," : "") + WithMetadata(object);
     }
     return {200, fmt::format(R"({{"items":[{}],"hasMore":{},"asOf":{}}})",
                              items, more, cursor)};
   }
 
-  answer Watch(const std::string& prefix,
-               std::map<std::string, std::string>& query) {
-    if (world_.history_gone.exchange(false))
+  http_reply Watch(const std::string& prefix,
+                   std::map<std::string, std::string>& query) {
+    if (platform_.history_gone.exchange(false))
       return {410, "{}"};
-    const auto batch = world_.objects_
+    const auto batch = platform_.objects_
                            .Watch(prefix, std::stoull(query["watch"]),
                                   milliseconds(std::stol(query["waitMs"])))
                            .value();
@@ -120,23 +123,25 @@
     std::string events;
     for (const auto& event : batch.events) {
       const bool gone = event.version == 0;
-      const auto got = world_.objects_.Get(event.key);
+      const auto got = platform_.objects_.Get(event.key);
       const store_object object =
           got ? got.value() : store_object{event.key, 1, R"({"spec":null})"};
-      events += fmt::format(R"({}{{"deleted":{},"object":{}}})",
-                            events.empty() ? "" : ",", gone, WithMeta(object));
+      events +=
+          fmt::format(R"({}{{"deleted":{},"object":{}}})",
+                      events.empty() ? "" : ",", gone, WithMetadata(object));
     }
     return {200, fmt::format(R"({{"events":[{}],"asOf":{}}})", events,
                              batch.cursor)};
   }
 
-  answer Write(const std::string& method,
-               const std::string& path,
-               std::map<std::string, std::string>& query,
-               const std::string& body) {
+  http_reply Write(const std::string& method,
+                   const std::string& path,
+                   std::map<std::string, std::string>& query,
+                   const std::string& body) {
     if (method == "DELETE") {
-      const auto gone = world_.objects_.Delete(path, std::stoull(query["rev"]));
-      return gone ? answer{200, "{}"} : answer{409, "{}"};
+      const auto gone =
+          platform_.objects_.Delete(path, std::stoull(query["rev"]));
+      return gone ? http_reply{200, "{}"} : http_reply{409, "{}"};
     }
     const auto json = ParseObject(body);
     const auto meta = json->getObject("metadata");
@@ -144,13 +149,13 @@
     const auto key =
         create ? path + "/" + meta->getValue<std::string>("name") : path;
     const auto expected = create ? 0 : meta->getValue<Poco::UInt64>("rev");
-    const auto written = world_.objects_.Put(key, body, expected);
+    const auto written = platform_.objects_.Put(key, body, expected);
     if (!written)
       return {409, "{}"};
-    return {200, WithMeta({key, written.value(), body})};
+    return {200, WithMetadata({key, written.value(), body})};
   }
 
-  stand_in_platform& world_;
+  stand_in_platform& platform_;
 };
 
 stand_in_platform::stand_in_platform() : objects_(clock_), threads_(2, 64) {
--- a/tests/platform_adapter/stand_in_platform.h
+++ b/tests/platform_adapter/stand_in_platform.h
@@ -13,26 +13,31 @@
 
 namespace samphire::platform {
 
-// The platform's store as its callers see it: its protocol over HTTP, on the
-// product's stand-in objects, with faults on demand.
+// Test double of the platform's store: serves its HTTP protocol on a free local
+// port, keeps the objects in memory (stand_in_objects), and injects faults on
+// demand. Thread-safe.
 class stand_in_platform {
  public:
   stand_in_platform();
   ~stand_in_platform();
 
+  // IP:PORT at which the store can be reached.
   std::string address() const;
-  // Writes an object as the operator or a target would.
+  // Creates or replaces an object, as the operator or a target would. Both
+  // functions throw an exception if that fails.
   void Write(const std::string& key, const std::string& value);
   void Remove(const std::string& key);
 
-  // Status that every call is refused with; 0: none.
+  // HTTP status with which every call is refused; 0 to serve calls.
   std::atomic<int> refuse_with = 0;
-  // Watches are told that their history is gone.
+  // If set, the next watch is told that its history is gone, and the flag is
+  // cleared.
   std::atomic<bool> history_gone = false;
-  // How many of the next writes take effect and are not answered.
-  std::atomic<int> lose_answers = 0;
-  // Objects a listing tells at once.
-  std::atomic<std::size_t> page = 500;
+  // Number of next writes that take effect but receive no response.
+  std::atomic<int> lose_write_responses = 0;
+  // Maximum number of objects in one page of a listing.
+  std::atomic<std::size_t> page_size = 500;
+  // Number of calls received.
   std::atomic<int> calls = 0;
 
  private:
--- a/tests/platform_adapter/wire_target.cc
+++ b/tests/platform_adapter/wire_target.cc
@@ -18,7 +18,9 @@
 
 namespace {
 
-constexpr Poco::Timespan::TimeDiff kLookAgainUs = 5000;
+// Interval at which a request that hangs checks whether its connection was
+// closed, in microseconds.
+constexpr Poco::Timespan::TimeDiff kCallerCheckIntervalUs = 5000;
 
 class target_handler final : public Poco::Net::HTTPRequestHandler {
  public:
@@ -30,11 +32,11 @@
     std::string body;
     Poco::StreamCopier::copyToString(request.stream(), body);
     response.set("Request-Id", request.get("Request-Id", ""));
-    const auto mood = target_.mood.load();
+    const auto behavior = target_.behavior.load();
     if (request.get("Target-Instance", "") != target_.id() ||
-        mood == target_mood::kMisdirect) {
+        behavior == target_behavior::kWrongInstance) {
       Send(response, 421, "");
-    } else if (mood == target_mood::kShed) {
+    } else if (behavior == target_behavior::kShed) {
       response.set("Not-Executed", "1");
       Send(response, 503, "");
     } else {
@@ -43,7 +45,7 @@
       target_.SetLastHeaders({request.begin(), request.end()});
       std::this_thread::sleep_for(
           std::chrono::milliseconds(target_.work_ms.load()));
-      Run(mood, request, response, body);
+      Run(behavior, request, response, body);
     }
   }
 
@@ -56,28 +58,28 @@
     response.sendBuffer(body.data(), body.size());
   }
 
-  void Run(target_mood mood,
+  void Run(target_behavior behavior,
            Poco::Net::HTTPServerRequest& request,
            Poco::Net::HTTPServerResponse& response,
            const std::string& body) {
     auto socket =
         static_cast<Poco::Net::HTTPServerRequestImpl&>(request).socket();
-    if (mood == target_mood::kCut) {
+    if (behavior == target_behavior::kCloseWithoutResponse) {
       socket.shutdown();
       return;
     }
-    const caller_watch entry(socket);
-    while (mood == target_mood::kHang && !entry.IsDisconnected() &&
-           !target_.stopping)
-      socket.poll(Poco::Timespan(kLookAgainUs),
+    const caller_watch entry_watch(socket);
+    while (behavior == target_behavior::kHang &&
+           !entry_watch.IsDisconnected() && !target_.stopping)
+      socket.poll(Poco::Timespan(kCallerCheckIntervalUs),
                   Poco::Net::Socket::SELECT_ERROR);
-    if (mood == target_mood::kHang) {
+    if (behavior == target_behavior::kHang) {
       ++target_.cancelled;
       return;
     }
     response.set("Server-Stamp", "stamp." + target_.id());
     response.set("Server-Load", "1,0,4");
-    Send(response, mood == target_mood::kFail ? 500 : 200,
+    Send(response, behavior == target_behavior::kRespondWithError ? 500 : 200,
          request.getMethod() + " " + request.getURI() + " " + body);
   }
 
--- a/tests/platform_adapter/wire_target.h
+++ b/tests/platform_adapter/wire_target.h
@@ -12,40 +12,45 @@
 
 namespace samphire::platform {
 
-// How a target of the platform answers what it is asked to run.
-enum class target_mood {
+// How a target treats the requests that it receives.
+enum class target_behavior {
   kServe,
-  // Says that it did not run the request.
+  // Refuses the request and states that it did not run it.
   kShed,
-  // Runs it and closes without an answer.
-  kCut,
-  // Runs it for as long as the caller waits.
+  // Runs the request and closes the connection without a response.
+  kCloseWithoutResponse,
+  // Runs the request until the connection is closed, and sends no response.
   kHang,
-  // Runs it and answers with a failure.
-  kFail,
-  // Answers as another process at the address.
-  kMisdirect,
+  // Runs the request and responds with status 500.
+  kRespondWithError,
+  // Refuses the request as addressed to another target, like another process
+  // that has taken over the address.
+  kWrongInstance,
 };
 
-// A target that speaks the platform's protocol.
+// A target that serves the platform's HTTP protocol on a free local port, with
+// a selectable behavior, and counts what it runs. Thread-safe.
 class wire_target {
  public:
   explicit wire_target(std::string id);
   ~wire_target();
 
   const std::string& id() const { return id_; }
+  // IP:PORT at which the target can be reached.
   std::string address() const;
 
-  std::atomic<target_mood> mood = target_mood::kServe;
+  std::atomic<target_behavior> behavior = target_behavior::kServe;
+  // Requests received, and those of them that were run.
   std::atomic<int> arrivals = 0;
   std::atomic<int> runs = 0;
-  // Runs that ended because the connection did.
+  // Runs that ended because their connection was closed.
   std::atomic<int> cancelled = 0;
+  // Ends the requests that hang; set by the destructor.
   std::atomic<bool> stopping = false;
-  // How long a request is worked on.
+  // Duration of a run, in milliseconds.
   std::atomic<int> work_ms = 0;
 
-  // How often each request was run, by its id.
+  // Number of runs of each request, by request ID.
   std::map<std::string, int> runs_by_id() const;
   void CountRun(const std::string& id);
 
--- a/tests/platform_adapter/wire_text.cc
+++ b/tests/platform_adapter/wire_text.cc
@@ -55,7 +55,7 @@
                      const std::string& by) {
   const auto at = text.find(what);
   if (at == std::string::npos)
-    throw std::invalid_argument(what + " isn't there");
+    throw std::invalid_argument(what + " does not occur in the text");
   return text.replace(at, what.size(), by);
 }
 
--- a/tests/platform_adapter/wire_text.h
+++ b/tests/platform_adapter/wire_text.h
@@ -5,22 +5,25 @@
 
 namespace samphire::platform {
 
-// Objects as the platform's store tells them.
+// Returns the JSON of a target object as the platform's store sends it: a warm
+// target with four slots in failure domain "a-1".
 std::string TargetObject(const std::string& address,
                          const std::string& service,
                          const std::string& state = "ready");
 
-// One host, "h.example", whose "/read/" may be repeated and goes to "reads",
-// and whose "/write/" may not and goes to "writes".
+// Returns the JSON of a manifest with one host, "h.example". Its route "/read/"
+// is idempotent and leads to service "reads"; its route "/write/" is not and
+// leads to service "writes". `version` is hexadecimal.
 std::string ManifestObject(const std::string& version);
 
-// The same manifest with two teams: "team-1" with API keys "key-1" and "key-2",
-// and "team-2" with API key "key-3" and home region "b". If `anonymous_reads`
-// is set, "/read/" needs no API key.
+// Returns the same manifest with two teams: "team-1" with API keys "key-1" and
+// "key-2", and "team-2" with API key "key-3" and home region "b". If
+// `anonymous_reads` is set, "/read/" needs no API key.
 std::string TeamManifestObject(const std::string& version,
                                bool anonymous_reads = false);
 
-// `text` with the first `what` replaced.
+// Returns `text` with the first occurrence of `what` replaced by `by`. Throws
+// std::invalid_argument if there is none.
 std::string Replaced(std::string text,
                      const std::string& what,
                      const std::string& by);
--- a/tests/soak/raw_call.cc
+++ b/tests/soak/raw_call.cc
@@ -12,28 +12,30 @@
 
 namespace {
 
-// Longer than any route's timeout: only a frozen entry lets it run out.
-constexpr long kPatienceSeconds = 4;
+// Time limit for a response. It exceeds the timeout of any route, so that only
+// an entry that is suspended by a signal exceeds it.
+constexpr long kResponseTimeoutSeconds = 4;
+// Time left to a request, which its header tells the entry.
 const std::string kDeadlineMs = "3000";
 
 }  // namespace
 
-raw_answer CallRaw(const std::string& address,
-                   const std::string& method,
-                   const std::string& path,
-                   const std::string& id,
-                   const std::string& body) {
-  raw_answer answer;
+raw_response SendRawRequest(const std::string& address,
+                            const std::string& method,
+                            const std::string& path,
+                            const std::string& id,
+                            const std::string& body) {
+  raw_response received;
   Poco::Net::StreamSocket socket;
   try {
     socket.connect(Poco::Net::SocketAddress(address), Poco::Timespan(1, 0));
   } catch (const Poco::Exception&) {
-    answer.refused = true;
-    return answer;
+    received.refused = true;
+    return received;
   }
   try {
     Poco::Net::HTTPClientSession session(socket);
-    session.setTimeout(Poco::Timespan(kPatienceSeconds, 0));
+    session.setTimeout(Poco::Timespan(kResponseTimeoutSeconds, 0));
     Poco::Net::HTTPRequest request(method, path, "HTTP/1.1");
     request.setHost("h.example");
     const auto names = platform::PlatformHeaders();
@@ -44,17 +46,17 @@
     session.sendRequest(request) << body;
     Poco::Net::HTTPResponse response;
     Poco::StreamCopier::copyToString(session.receiveResponse(response),
-                                     answer.body);
-    answer.status = response.getStatus();
+                                     received.body);
+    received.status = response.getStatus();
     const auto length = response.getContentLength();
-    answer.broken =
-        length >= 0 && static_cast<std::size_t>(length) != answer.body.size();
+    received.broken =
+        length >= 0 && static_cast<std::size_t>(length) != received.body.size();
   } catch (const Poco::TimeoutException&) {
-    answer.status = 0;
+    received.status = 0;
   } catch (const Poco::Exception&) {
-    answer.broken = true;
+    received.broken = true;
   }
-  return answer;
+  return received;
 }
 
 }  // namespace samphire
--- a/tests/soak/soak_finding.h
+++ b/tests/soak/soak_finding.h
@@ -5,9 +5,10 @@
 
 namespace samphire {
 
-// A promise that was seen broken, and by what.
+// A violation of a guarantee of the product: the guarantee's name, and a text
+// on the request, entry or log line that violated it.
 struct soak_finding {
-  std::string promise;
+  std::string guarantee;
   std::string detail;
 };
 
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -9,36 +9,38 @@
 
 namespace {
 
-// How long faults strike in one run.
-constexpr std::chrono::seconds kTime{6};
+// Time for which faults are injected in one run.
+constexpr std::chrono::seconds kFaultDuration{6};
 
-// scripts/soak sets these to try fresh seeds.
-long FromEnvironment(const char* name, long otherwise) {
+// Returns an integer variable of the environment. scripts/soak sets the first
+// seed and their number, in order to run new seeds.
+long ReadEnvironment(const char* name, long default_value) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::atol(text);
+  return text == nullptr ? default_value : std::atol(text);
 }
 
 void RunSeed(std::uint64_t seed) {
   soak_world world(seed);
-  const auto findings = world.Run(kTime);
+  const auto findings = world.Run(kFaultDuration);
   for (const auto& each : findings)
-    UNSCOPED_INFO(each.promise << ": " << each.detail);
-  INFO("seed " << seed << ", " << world.served() << " of " << world.asked()
-               << " answered");
+    UNSCOPED_INFO(each.guarantee << ": " << each.detail);
+  INFO("seed " << seed << ", " << world.served() << " of " << world.sent()
+               << " served");
   CHECK(findings.empty());
   CHECK(world.served() > 0);
 }
 
 }  // namespace
 
-// Entries are stopped, frozen, killed and restarted, links are delayed, cut one
-// way, silenced and reset, targets fail and leave, the store goes away and
-// forgets, all at random and at once. A user notices a claim that ran twice,
-// somebody else's answer, a request that was called not run and had, or an
-// entry that does not come back.
-TEST_CASE("promises hold while faults of all kinds strike at random") {
-  const auto first = FromEnvironment("SAMPHIRE_SOAK_SEED", 1);
-  const auto count = FromEnvironment("SAMPHIRE_SOAK_COUNT", 3);
+// Injects faults at random and concurrently: entries are stopped, suspended,
+// killed and restarted; links are delayed, cut in one or both directions and
+// reset; targets fail and drain; the store refuses calls and loses its history.
+// Guards against a claim that runs twice, a response to another request, a
+// request that ran although its caller was told that it did not, and an entry
+// that does not recover.
+TEST_CASE("guarantees hold while faults of all kinds are injected at random") {
+  const auto first = ReadEnvironment("SAMPHIRE_SOAK_SEED", 1);
+  const auto count = ReadEnvironment("SAMPHIRE_SOAK_COUNT", 3);
   for (long i = 0; i < count; ++i)
     RunSeed(static_cast<std::uint64_t>(first + i));
 }
--- a/tests/soak/soak_world.cc
+++ b/tests/soak/soak_world.cc
@@ -18,21 +18,25 @@
 namespace {
 
 using namespace std::chrono_literals;
-using platform::target_mood;
+using platform::target_behavior;
 
 constexpr int kEntries = 3;
 constexpr int kTargetsOfService = 3;
 constexpr int kCallers = 6;
-constexpr int kMoods = 6;
-constexpr auto kRecovery = 12s;
-// What must be served again once all is healed.
-constexpr int kCalmRequests = 60;
-constexpr int kCalmServed = 57;
+// Number of values of target_behavior.
+constexpr int kTargetBehaviors = 6;
+// Time in which an entry must serve requests again after the last fault.
+constexpr auto kRecoveryTimeout = 12s;
+// Requests that are sent to each entry once all faults have been removed, and
+// the minimum number of them that must succeed.
+constexpr int kRecoveryRequests = 60;
+constexpr int kMinRecoveryServed = 57;
+// A response must arrive within the timeout of its route plus this tolerance.
 constexpr std::chrono::milliseconds kRouteTimeout{800};
-constexpr std::chrono::milliseconds kLateBy{700};
+constexpr std::chrono::milliseconds kTimeoutTolerance{700};
 
-// Statuses that promise that the request did not run and never will.
-bool PromisesNotRun(int status) {
+// Whether the status states that the request did not run and never will.
+bool GuaranteesNotRun(int status) {
   return status == 429 || status == 503 || status == 408 || status == 421;
 }
 
@@ -102,57 +106,59 @@
                platform::TargetObject(one.link->address(), one.service, state));
 }
 
-std::vector<soak_finding> soak_world::Run(std::chrono::seconds time) {
+std::vector<soak_finding> soak_world::Run(std::chrono::seconds fault_duration) {
   const auto ready = [&] {
-    return CallRaw(entries_[0]->caller_address, "GET", "/read/up", "up", "")
+    return SendRawRequest(entries_[0]->caller_address, "GET", "/read/up", "up",
+                          "")
                .status == 200;
   };
   if (!WaitUntil(ready, 10s))
-    Find("starts", "no request was served within 10 s of the start");
-  asking_ = true;
+    AddFinding("starts", "no request was served within 10 s of the start");
+  sending_ = true;
   std::vector<std::thread> callers;
   callers.reserve(kCallers);
   for (int i = 0; i < kCallers; ++i)
-    callers.emplace_back([this, i] { Ask(seed_ * 100 + i); });
-  const auto until = std::chrono::steady_clock::now() + time;
+    callers.emplace_back([this, i] { RunCaller(seed_ * 100 + i); });
+  const auto until = std::chrono::steady_clock::now() + fault_duration;
   while (std::chrono::steady_clock::now() < until) {
-    Strike();
+    InjectFault();
     std::this_thread::sleep_for(
         std::chrono::milliseconds(40 + random_() % 160));
   }
-  Heal();
-  asking_ = false;
+  RemoveFaults();
+  sending_ = false;
   for (auto& caller : callers)
     caller.join();
-  JudgeRecovery();
-  Judge();
-  JudgeBroken();
-  JudgeLogs();
+  CheckRecovery();
+  CheckClaims();
+  CheckBrokenRequests();
+  CheckLogs();
   return findings_;
 }
 
-// One fault, or the end of one. They come in series and overlap.
-void soak_world::Strike() {
+// Injects one random fault or ends one. Faults of successive calls overlap.
+void soak_world::InjectFault() {
   auto& one = *entries_[random_() % entries_.size()];
   auto& hit = targets_[random_() % targets_.size()];
   switch (random_() % 10) {
     case 0:
     case 1:
-      StrikeEntry(one);
+      InjectEntryFault(one);
       break;
     case 2:
-      StrikeLink(*one.store_link);
+      InjectLinkFault(*one.store_link);
       break;
     case 3:
-      StrikeLink(*hit.link);
+      InjectLinkFault(*hit.link);
       break;
     case 4:
     case 5:
     case 6:
-      hit.process->mood = static_cast<target_mood>(random_() % kMoods);
+      hit.process->behavior =
+          static_cast<target_behavior>(random_() % kTargetBehaviors);
       break;
     case 7:
-      hit.process->mood = target_mood::kServe;
+      hit.process->behavior = target_behavior::kServe;
       Register(hit, random_() % 3 == 0 ? "draining" : "ready");
       break;
     case 8:
@@ -165,14 +171,15 @@
   }
 }
 
-void soak_world::StrikeEntry(entry& one) {
+void soak_world::InjectEntryFault(entry& one) {
   if (!one.process->running()) {
     StartEntry(one);
     return;
   }
   switch (random_() % 4) {
     case 0:
-      // Odd while the process is being killed: what comes then is cut as well.
+      // The count is odd while the process is being killed, since requests that
+      // are sent meanwhile may be cut as well.
       ++one.kills;
       one.process->Kill();
       ++one.kills;
@@ -193,7 +200,7 @@
   }
 }
 
-void soak_world::StrikeLink(relay& link) {
+void soak_world::InjectLinkFault(relay& link) {
   switch (random_() % 6) {
     case 0:
       link.SetDelay(relay::way::kThere,
@@ -215,21 +222,21 @@
   }
 }
 
-void soak_world::Heal() {
+void soak_world::RemoveFaults() {
   store_.refuse_with = 0;
   store_.history_gone = false;
-  const auto heal = [](relay& link) {
+  const auto reset_link = [](relay& link) {
     link.SetCut(relay::way::kThere, false);
     link.SetCut(relay::way::kBack, false);
     link.SetDelay(relay::way::kThere, 0ms);
   };
   for (auto& each : targets_) {
-    each.process->mood = target_mood::kServe;
-    heal(*each.link);
+    each.process->behavior = target_behavior::kServe;
+    reset_link(*each.link);
     Register(each, "ready");
   }
   for (auto& each : entries_) {
-    heal(*each->store_link);
+    reset_link(*each->store_link);
     if (each->leaving)
       WaitUntil([&] { return !each->process->running(); }, 6s);
     if (!each->process->running())
@@ -237,15 +244,15 @@
   }
 }
 
-void soak_world::Ask(std::uint64_t seed) {
+void soak_world::RunCaller(std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  for (std::uint64_t i = 0; asking_; ++i) {
-    AskOnce(random, seed * 1'000'000 + i);
+  for (std::uint64_t i = 0; sending_; ++i) {
+    SendRequest(random, seed * 1'000'000 + i);
     std::this_thread::sleep_for(std::chrono::milliseconds(random() % 20));
   }
 }
 
-void soak_world::AskOnce(std::mt19937_64& random, std::uint64_t number) {
+void soak_world::SendRequest(std::mt19937_64& random, std::uint64_t number) {
   auto& one = *entries_[random() % entries_.size()];
   const bool is_claim = random() % 3 == 0;
   const auto id = fmt::format("q{:x}", number);
@@ -254,29 +261,31 @@
   const auto started = std::chrono::steady_clock::now();
   const auto method = is_claim ? "POST" : "GET";
   const auto path = (is_claim ? "/write/" : "/read/") + id;
-  const auto answer = CallRaw(one.caller_address, method, path, id, id);
-  ++asked_;
-  served_ += answer.status == 200 ? 1 : 0;
+  const auto response =
+      SendRawRequest(one.caller_address, method, path, id, id);
+  ++sent_;
+  served_ += response.status == 200 ? 1 : 0;
   const auto expected = fmt::format("{} {} {}", method, path, id);
-  if (answer.status == 200 && answer.body != expected)
-    Find("the whole answer to its own request", id + " got " + answer.body);
-  if (answer.status == 404)
-    Find("no 404 for what the configuration allows", id);
-  // A kill cuts what is in progress; nothing else may.
+  if (response.status == 200 && response.body != expected)
+    AddFinding("a complete response to its own request",
+               id + " got " + response.body);
+  if (response.status == 404)
+    AddFinding("no 404 for what the configuration allows", id);
+  // Only a kill may cut requests in progress.
   const bool killed = kills != one.kills || kills % 2 == 1;
-  if (answer.broken && !killed) {
+  if (response.broken && !killed) {
     std::lock_guard guard(lock_);
     broken_.push_back({id, leaving || one.leaving, one.caller_address,
                        std::chrono::duration_cast<std::chrono::milliseconds>(
                            std::chrono::steady_clock::now() - started)});
   }
-  if (is_claim && !answer.refused) {
+  if (is_claim && !response.refused) {
     std::lock_guard guard(lock_);
-    claims_.push_back({id, answer.status});
+    claims_.push_back({id, response.status});
   }
 }
 
-void soak_world::Judge() {
+void soak_world::CheckClaims() {
   std::map<std::string, int> runs;
   for (const auto& each : targets_) {
     for (const auto& [id, count] : each.process->runs_by_id())
@@ -286,18 +295,20 @@
     const auto found = runs.find(each.id);
     const int count = found == runs.end() ? 0 : found->second;
     if (count > 1)
-      Find("once at most", fmt::format("{} ran {} times", each.id, count));
+      AddFinding("once at most",
+                 fmt::format("{} ran {} times", each.id, count));
     if (each.status == 200 && count != 1)
-      Find("answered means run", each.id);
-    if (PromisesNotRun(each.status) && count > 0)
-      Find("not run is true", fmt::format("{} {}", each.status, each.id));
+      AddFinding("a success means that it ran", each.id);
+    if (GuaranteesNotRun(each.status) && count > 0)
+      AddFinding("not run is true", fmt::format("{} {}", each.status, each.id));
   }
 }
 
-// The end of a process that was asked to stop resets connections that no thread
-// had taken in yet. Their requests were not read, which callers know from the
-// reset; but one that the entry's log names was read, and must be answered.
-void soak_world::JudgeBroken() {
+// When a process ends after SIGTERM, the connections that no thread has
+// accepted yet are reset. Their requests were not read, which the reset tells
+// callers. A request that the entry's log names was read, and must receive a
+// response.
+void soak_world::CheckBrokenRequests() {
   const auto logs = LogLines();
   for (const auto& each : broken_) {
     const bool read =
@@ -305,20 +316,21 @@
           return line.find(each.id) != std::string::npos;
         });
     if (read || !each.stopping)
-      Find("an answer to every request that was read",
-           fmt::format("{} after {} ms at {}", each.id, each.took.count(),
-                       each.entry));
+      AddFinding("a response to every request that was read",
+                 fmt::format("{} after {} ms at {}", each.id,
+                             each.elapsed.count(), each.entry));
   }
 }
 
-// On-call engineers have little else than these lines; each must be what the
-// manual says.
-void soak_world::JudgeLogs() {
+// On-call engineers depend on the log, so each line must conform to the schema
+// in the manual.
+void soak_world::CheckLogs() {
   const log_schema schema(SAMPHIRE_SOURCE_DIR "/docs/LOGS.md");
   for (const auto& line : LogLines()) {
     const auto fault = schema.FaultOf(line);
     if (!fault.empty())
-      Find("logs keep to their schema", fmt::format("{} in {}", fault, line));
+      AddFinding("log lines conform to their schema",
+                 fmt::format("{} in {}", fault, line));
   }
 }
 
@@ -332,39 +344,42 @@
   return lines;
 }
 
-// After the last fault everything must be served again, by every entry, and
-// under the last configuration.
-void soak_world::JudgeRecovery() {
+// After the last fault, every entry must serve requests again, under the last
+// configuration.
+void soak_world::CheckRecovery() {
   for (auto& one : entries_) {
-    const auto whole = [&] {
-      return CallRaw(one->caller_address, "GET", "/read/calm", "calm", "")
+    const auto is_served = [&] {
+      return SendRawRequest(one->caller_address, "GET", "/read/calm", "calm",
+                            "")
                  .status == 200;
     };
-    if (!WaitUntil(whole, kRecovery)) {
-      Find("recovery", one->caller_address + " serves nothing");
+    if (!WaitUntil(is_served, kRecoveryTimeout)) {
+      AddFinding("recovery", one->caller_address + " serves no requests");
       continue;
     }
     std::this_thread::sleep_for(500ms);
-    int good = 0;
-    for (int i = 0; i < kCalmRequests; ++i) {
+    int succeeded = 0;
+    for (int i = 0; i < kRecoveryRequests; ++i) {
       const auto started = std::chrono::steady_clock::now();
-      good += CallRaw(one->caller_address, "GET", "/read/calm",
-                      fmt::format("calm{}", i), "")
-                          .status == 200
-                  ? 1
-                  : 0;
-      if (std::chrono::steady_clock::now() - started > kRouteTimeout + kLateBy)
-        Find("a final answer at the timeout", one->caller_address);
+      succeeded += SendRawRequest(one->caller_address, "GET", "/read/calm",
+                                  fmt::format("calm{}", i), "")
+                               .status == 200
+                       ? 1
+                       : 0;
+      if (std::chrono::steady_clock::now() - started >
+          kRouteTimeout + kTimeoutTolerance)
+        AddFinding("a final response at the timeout", one->caller_address);
     }
-    if (good < kCalmServed)
-      Find("recovery", fmt::format("{} of {} at {}", good, kCalmRequests,
-                                   one->caller_address));
+    if (succeeded < kMinRecoveryServed)
+      AddFinding("recovery",
+                 fmt::format("{} of {} at {}", succeeded, kRecoveryRequests,
+                             one->caller_address));
   }
 }
 
-void soak_world::Find(std::string promise, std::string detail) {
+void soak_world::AddFinding(std::string guarantee, std::string detail) {
   std::lock_guard guard(lock_);
-  findings_.push_back({std::move(promise),
+  findings_.push_back({std::move(guarantee),
                        std::move(detail) + ", logs in " + folder_.string()});
 }
 
--- a/tests/soak/soak_world.h
+++ b/tests/soak/soak_world.h
@@ -20,67 +20,83 @@
 
 namespace samphire {
 
-// Real entry processes between stand-ins of the platform's store and targets.
-// Every link but that of the callers runs through a relay, so that it can be
-// delayed, cut, silenced or reset; processes are stopped, frozen, killed and
-// started again by signals.
+// Runs three entry processes against stand-ins of the platform's store and of
+// targets, while it injects random faults. The links from entries to the store
+// and to the targets go through relays, which can delay, cut or reset them.
+// Processes are stopped, suspended and killed by signals and started again. The
+// public functions must be called by one thread.
 class soak_world {
  public:
+  // Starts the processes. `seed` determines the sequence of faults and
+  // requests.
   explicit soak_world(std::uint64_t seed);
+  // Kills the processes, and removes their settings and logs unless there are
+  // findings.
   ~soak_world();
 
-  // Callers ask and faults strike for `time`; then all is healed, and what was
-  // promised is judged.
-  std::vector<soak_finding> Run(std::chrono::seconds time);
-  // Requests that were answered whole while faults struck, and asked in all.
+  // Sends requests from several threads and injects faults for
+  // `fault_duration`; then removes all faults and checks the guarantees.
+  // Returns the violations. May be called once.
+  std::vector<soak_finding> Run(std::chrono::seconds fault_duration);
+  // Number of requests that succeeded while faults were injected, and of all
+  // that were sent.
   int served() const { return served_; }
-  int asked() const { return asked_; }
+  int sent() const { return sent_; }
 
  private:
+  // An entry process and its relay to the store.
   struct entry {
     std::string caller_address;
     std::string settings_path;
     std::unique_ptr<relay> store_link;
     std::unique_ptr<child_process> process;
-    // Rises with each kill, which may cut what is in progress.
+    // Incremented before and after each kill, which may cut requests in
+    // progress; odd meanwhile.
     std::atomic<int> kills{0};
-    // SIGTERM was sent, and the process is on its way out.
+    // Whether SIGTERM was sent to the process, so that it is stopping.
     std::atomic<bool> leaving{false};
   };
+  // A target and the relay through which entries reach it.
   struct target {
     std::unique_ptr<platform::wire_target> process;
     std::unique_ptr<relay> link;
     std::string service;
   };
-  // A request whose connection ended without an answer.
+  // A request whose connection was closed without a complete response.
   struct broken_request {
     std::string id;
-    // Its entry was asked to stop before or meanwhile.
+    // Whether SIGTERM was sent to its entry before or during the request.
     bool stopping = false;
-    // Which entry it was, and how long the request took.
+    // Address of the entry, and duration of the request.
     std::string entry;
-    std::chrono::milliseconds took{0};
+    std::chrono::milliseconds elapsed{0};
   };
-  // What a caller was told of a request that may run once at most.
+  // The status that a caller received for a request that may run at most once;
+  // 0 without a response.
   struct claim {
     std::string id;
     int status = 0;
   };
 
   void StartEntry(entry& one);
+  // Writes the object of a target, with its state, to the store.
   void Register(const target& one, const std::string& state);
-  void Strike();
-  void StrikeEntry(entry& one);
-  void StrikeLink(relay& link);
-  void Heal();
-  void Ask(std::uint64_t seed);
-  void AskOnce(std::mt19937_64& random, std::uint64_t number);
-  void Judge();
-  void JudgeBroken();
-  void JudgeLogs();
+  // Inject a random fault, or end one.
+  void InjectFault();
+  void InjectEntryFault(entry& one);
+  void InjectLinkFault(relay& link);
+  // Ends all faults and starts the processes that have ended.
+  void RemoveFaults();
+  // Sends requests until `sending_` is false; runs in a thread per caller.
+  void RunCaller(std::uint64_t seed);
+  void SendRequest(std::mt19937_64& random, std::uint64_t number);
+  // Check one kind of guarantee each and add what violates it to the findings.
+  void CheckClaims();
+  void CheckBrokenRequests();
+  void CheckLogs();
   std::vector<std::string> LogLines() const;
-  void JudgeRecovery();
-  void Find(std::string promise, std::string detail);
+  void CheckRecovery();
+  void AddFinding(std::string guarantee, std::string detail);
 
   const std::uint64_t seed_;
   std::mt19937_64 random_;
@@ -89,9 +105,10 @@
   std::vector<std::unique_ptr<entry>> entries_;
   std::vector<target> targets_;
   std::uint64_t version_ = 1;
-  std::atomic<bool> asking_{false};
-  std::atomic<int> asked_{0};
+  std::atomic<bool> sending_{false};
+  std::atomic<int> sent_{0};
   std::atomic<int> served_{0};
+  // Guards claims_, broken_ and findings_.
   std::mutex lock_;
   std::vector<claim> claims_;
   std::vector<broken_request> broken_;
