--- a/src/ctl/call_failure.h
+++ b/src/ctl/call_failure.h
@@ -5,12 +5,14 @@
 
 namespace samphire {
 
-// Why a call got no answer: it surely did not arrive, or it may have.
-enum class call_failure { kNotSent, kAnswerLost };
+// Why a call to an entry returned no usable response. kNotSent: the connection
+// failed, so the request certainly did not reach the entry. kResponseLost: the
+// request may have reached the entry and may have been executed.
+enum class call_failure { kNotSent, kResponseLost };
 
 inline constexpr enum_names<call_failure, 2> kCallFailureNames{{
     {call_failure::kNotSent, "not sent"},
-    {call_failure::kAnswerLost, "answer lost"},
+    {call_failure::kResponseLost, "answer lost"},
 }};
 
 }  // namespace samphire
--- a/src/ctl/change_id.h
+++ b/src/ctl/change_id.h
@@ -5,12 +5,16 @@
 
 namespace samphire {
 
-// Whether a change is one's own or the consent to another's.
+// The kind of a configuration change: a change submitted by this operator
+// (kApply), or this operator's approval of another operator's proposal
+// (kWitness).
 enum class change_kind { kApply, kWitness };
 
-// By what the history knows a change: its apply id, or the proposal's.
+// Identifies a change in the configuration history, so that its outcome can be
+// looked up after its response was lost.
 struct change_id {
   change_kind kind = change_kind::kApply;
+  // The apply id for kApply, the proposal id for kWitness.
   std::string text;
 };
 
--- a/src/ctl/check_command.cc
+++ b/src/ctl/check_command.cc
@@ -11,12 +11,14 @@
 
 namespace {
 
+// Returns one line with the number of items of each kind in a valid
+// declaration.
 std::string SummaryOf(const declaration& declared) {
   std::size_t targets = 0;
   for (const auto& one : declared.services)
     targets += one.targets.size();
   return fmt::format(
-      "{}: sound; {} regions, {} services, {} targets, {} client blocks, {} "
+      "{}: valid; {} regions, {} services, {} targets, {} client blocks, {} "
       "shift caps, {} drains",
       declared.name, declared.regions.size(), declared.services.size(), targets,
       declared.client_blocks.size(), declared.shift_caps.size(),
@@ -25,9 +27,10 @@
 
 }  // namespace
 
-// Needs no entry, so that a file can be checked where it is written.
+// Validates locally, without an entry, so that a file can be checked on the
+// machine where it is written.
 exit_code CheckFile(command_context& context) {
-  const auto text = ReadFileText(context.words.front(), kMaxJsonBytes);
+  const auto text = ReadFileText(context.arguments.front(), kMaxJsonBytes);
   if (!text)
     return context.out.Refused(text.error());
   const auto read =
--- a/src/ctl/command_context.h
+++ b/src/ctl/command_context.h
@@ -10,11 +10,12 @@
 
 namespace samphire {
 
-// What one command works with.
+// The inputs of one command: its options and arguments, the client that calls
+// the entries, and the report that prints the outcome.
 struct command_context {
   const ctl_options& options;
-  // The words behind the command's own.
-  std::vector<std::string> words;
+  // The arguments after the name of the command.
+  std::vector<std::string> arguments;
   operator_client client;
   report out;
 };
--- a/src/ctl/command_line.cc
+++ b/src/ctl/command_line.cc
@@ -8,29 +8,32 @@
 
 namespace {
 
+// The prefix that tells a flag from a positional argument.
 constexpr std::string_view kFlagStart = "--";
 
 error Usage(const std::string& detail) {
   return MakeError(result_code::kUsage, detail);
 }
 
-// A switch needs no value, so the word behind it is not one.
-std::string ValueWithout(const absl::CommandLineFlag& flag) {
+// Returns the value of a flag that is given without "=". A boolean flag is set
+// to true, and the next argument is not its value; any other flag takes the
+// next argument (empty here).
+std::string ImpliedValue(const absl::CommandLineFlag& flag) {
   return flag.IsOfType<bool>() ? "true" : "";
 }
 
 }  // namespace
 
-// Abseil's own parser ends the process with 1 on a bad flag, which here means
-// that an entry refused; so its flags are set one by one, and a mistake of the
-// command line ends with 2.
+// Flags are set one by one because Abseil's own parser exits with 1 on a bad
+// flag, which here means that an entry refused the call; an error on the
+// command line exits with 2.
 result<command_line> ParseCommandLine(
     const std::vector<std::string>& arguments) {
   command_line parsed;
   for (std::size_t i = 0; i < arguments.size(); ++i) {
     const std::string_view argument = arguments[i];
     if (!argument.starts_with(kFlagStart)) {
-      parsed.words.emplace_back(argument);
+      parsed.positional.emplace_back(argument);
       continue;
     }
     const auto equals = argument.find('=');
@@ -44,7 +47,7 @@
     auto* flag = absl::FindCommandLineFlag(std::string(name));
     if (flag == nullptr)
       return Usage("unknown flag: --" + std::string(name));
-    std::string value = ValueWithout(*flag);
+    std::string value = ImpliedValue(*flag);
     if (equals != std::string_view::npos)
       value = argument.substr(equals + 1);
     else if (value.empty() && ++i < arguments.size())
--- a/src/ctl/command_line.h
+++ b/src/ctl/command_line.h
@@ -8,14 +8,17 @@
 
 namespace samphire {
 
-// What stands on the command line besides the flags.
+// The parsed command line without the flags, which Abseil stores globally.
 struct command_line {
-  std::vector<std::string> words;
+  // The arguments that are not flags: the name of the command, then its
+  // arguments.
+  std::vector<std::string> positional;
+  // Whether --help was given.
   bool help = false;
 };
 
-// Sets the flags and returns the rest; kUsage for a flag that is not known or
-// has a bad value.
+// Sets the Abseil flags from `arguments` (without the program name) and returns
+// the rest. Fails with kUsage for a flag that is unknown or has a bad value.
 result<command_line> ParseCommandLine(
     const std::vector<std::string>& arguments);
 
--- a/src/ctl/command_table.h
+++ b/src/ctl/command_table.h
@@ -13,32 +13,42 @@
 
 namespace samphire {
 
-// What a command can't do without.
-enum class command_need { kNothing, kEntry, kOperator, kCallerUrl };
+// The flags that a command requires. kNone: none. kEntry: --operator_url and
+// --token_file. kOperator: those and --operator, the name recorded in the
+// history. kCallerUrl: --caller_url.
+enum class command_prerequisite { kNone, kEntry, kOperator, kCallerUrl };
 
+// One row of the command table: how a command is called, how it is described in
+// the help text, and the function that runs it.
 struct command {
-  // One word or two, with a space.
+  // One word, or two words separated by a space.
   std::string_view name;
+  // The arguments and flags as the help text shows them.
   std::string_view arguments;
-  std::size_t min_words = 0;
-  std::size_t max_words = 0;
-  command_need need = command_need::kNothing;
+  // Bounds on the number of arguments after the name, inclusive.
+  std::size_t min_arguments = 0;
+  std::size_t max_arguments = 0;
+  command_prerequisite prerequisite = command_prerequisite::kNone;
   exit_code (*run)(command_context& context) = nullptr;
-  std::string_view brief;
+  std::string_view summary;
   std::string_view example;
 };
 
+// Returns all commands in the order of the help text.
 std::span<const command> CommandTable();
 
-// The command that `words` start with; kUsage if there is none, if the words
-// behind it are too few or too many, or if a flag that it needs is missing.
-result<const command*> FindCommand(const std::vector<std::string>& words,
+// Returns the command whose name `positional` starts with. Fails with kUsage if
+// there is none, if the number of arguments after the name is out of bounds, or
+// if a required flag is missing.
+result<const command*> FindCommand(const std::vector<std::string>& positional,
                                    const ctl_options& options);
 
-// The words behind the command's own.
-std::vector<std::string> WordsBehind(const command& found,
-                                     const std::vector<std::string>& words);
+// Returns the arguments after the name of the command.
+std::vector<std::string> CommandArguments(
+    const command& found,
+    const std::vector<std::string>& positional);
 
+// Returns the text that --help prints.
 std::string HelpText();
 
 }  // namespace samphire
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -6,7 +6,8 @@
 
 namespace samphire {
 
-// What samphirectl does, one function a command.
+// The commands of samphirectl, one function each. Each prints its outcome
+// through the report in `context` and returns the exit code of the process.
 exit_code CheckFile(command_context& context);
 exit_code ApplyFile(command_context& context);
 exit_code ShowStatus(command_context& context);
--- a/src/ctl/ctl_call.h
+++ b/src/ctl/ctl_call.h
@@ -6,16 +6,17 @@
 
 namespace samphire {
 
-// One call of the operator's protocol.
+// One HTTP call of the operator protocol.
 struct ctl_call {
   std::string method;
-  // Percent-encoded already.
+  // The path without the query, already percent-encoded.
   std::string path;
+  // The query parameters, not yet percent-encoded.
   std::map<std::string, std::string> parameters;
   std::string body;
 };
 
-// `text` as one segment of a path.
+// Returns `text` percent-encoded as a single segment of a path.
 std::string PathSegment(const std::string& text);
 
 }  // namespace samphire
--- a/src/ctl/ctl_options.cc
+++ b/src/ctl/ctl_options.cc
@@ -15,20 +15,30 @@
           "tried in turn");
 ABSL_FLAG(std::string, caller_url, "", "a caller port, for lookup");
 ABSL_FLAG(std::string, token_file, "", "file that holds the operator token");
-ABSL_FLAG(std::string, operator, "", "your name, kept in config history");
-ABSL_FLAG(std::int64_t, timeout_ms, 10000, "how long one call may take");
+ABSL_FLAG(std::string, operator, "", "your name, recorded in the history");
 ABSL_FLAG(std::int64_t,
-          settle_ms,
-          5000,
-          "how long to look for an apply whose answer was lost");
-ABSL_FLAG(std::string, expect, "", "the version that must be in force");
-ABSL_FLAG(bool, wait, false, "wait until every member has the version");
-ABSL_FLAG(std::int64_t, wait_ms, 15000, "how long --wait waits");
+          timeout_ms,
+          10000,
+          "limit on each network operation of a call");
+ABSL_FLAG(
+    std::int64_t,
+    settle_ms,
+    5000,
+    "how long to search the history for an apply whose response was lost");
+ABSL_FLAG(std::string,
+          expect,
+          "",
+          "apply only if this configuration version is in force");
+ABSL_FLAG(bool, wait, false, "wait until all members have the new version");
+ABSL_FLAG(std::int64_t, wait_ms, 15000, "limit on the time that --wait waits");
 ABSL_FLAG(std::string, service, "", "the service of a ledger key");
 ABSL_FLAG(std::string, as, "", "done or released");
-ABSL_FLAG(std::string, reason, "", "why a reservation is settled so");
+ABSL_FLAG(std::string, reason, "", "why a reservation is resolved this way");
 ABSL_FLAG(std::string, scope, "", "target, failure_domain or region");
-ABSL_FLAG(std::string, subject, "", "what is drained");
+ABSL_FLAG(std::string,
+          subject,
+          "",
+          "name of the target, failure domain or region to drain");
 ABSL_FLAG(std::string, starts_at, "", "UTC, such as 2026-12-02T08:30:00Z");
 ABSL_FLAG(std::string, deadline, "", "UTC, such as 2026-12-02T09:30:00Z");
 
@@ -36,6 +46,7 @@
 
 namespace {
 
+// Bounds the size of the token file.
 constexpr std::size_t kMaxTokenBytes = 4096;
 
 error Usage(const std::string& detail) {
@@ -54,6 +65,8 @@
   return parts;
 }
 
+// Reads the token without trailing white space. An empty path gives an empty
+// token, since some commands need none.
 result<std::string> ReadToken(const std::string& path) {
   if (path.empty())
     return std::string();
@@ -71,14 +84,17 @@
   const auto [end, failure] =
       std::from_chars(text.data(), text.data() + text.size(), version);
   if (failure != std::errc() || end != text.data() + text.size())
-    return Usage("--expect is not a version: " + text);
+    return Usage("--expect is not a version number: " + text);
   return std::optional(version);
 }
 
-result<milliseconds> ParseTime(std::int64_t count, const char* flag) {
-  constexpr std::int64_t kLongest = 3'600'000;
-  if (count < 1 || count > kLongest)
-    return Usage(std::string(flag) + " is not from 1 to 3600000");
+// Checks a time limit given in milliseconds.
+result<milliseconds> ParseTimeLimit(std::int64_t count, const char* flag) {
+  // One hour.
+  constexpr std::int64_t kMaxLimitMs = 3'600'000;
+  if (count < 1 || count > kMaxLimitMs)
+    return Usage(std::string(flag) +
+                 " is out of range: must be from 1 to 3600000");
   return milliseconds(count);
 }
 
@@ -88,21 +104,22 @@
   ctl_options options;
   const auto output = ValueOf(kOutputFormatNames, absl::GetFlag(FLAGS_output));
   if (!output)
-    return Usage("--output is neither text nor json");
+    return Usage("--output must be text or json");
   options.output = *output;
   options.operator_urls = SplitAtCommas(absl::GetFlag(FLAGS_operator_url));
   options.caller_url = absl::GetFlag(FLAGS_caller_url);
   options.operator_name = absl::GetFlag(FLAGS_operator);
   BOOST_OUTCOME_TRY(token, ReadToken(absl::GetFlag(FLAGS_token_file)));
   options.token = token;
-  BOOST_OUTCOME_TRY(timeout,
-                    ParseTime(absl::GetFlag(FLAGS_timeout_ms), "--timeout_ms"));
+  BOOST_OUTCOME_TRY(
+      timeout, ParseTimeLimit(absl::GetFlag(FLAGS_timeout_ms), "--timeout_ms"));
   options.timeout = timeout;
-  BOOST_OUTCOME_TRY(settle,
-                    ParseTime(absl::GetFlag(FLAGS_settle_ms), "--settle_ms"));
-  options.settle = settle;
+  BOOST_OUTCOME_TRY(
+      settle_timeout,
+      ParseTimeLimit(absl::GetFlag(FLAGS_settle_ms), "--settle_ms"));
+  options.settle_timeout = settle_timeout;
   BOOST_OUTCOME_TRY(wait_limit,
-                    ParseTime(absl::GetFlag(FLAGS_wait_ms), "--wait_ms"));
+                    ParseTimeLimit(absl::GetFlag(FLAGS_wait_ms), "--wait_ms"));
   options.wait_limit = wait_limit;
   BOOST_OUTCOME_TRY(expect, ParseVersion(absl::GetFlag(FLAGS_expect)));
   options.expect = expect;
--- a/src/ctl/exit_code.h
+++ b/src/ctl/exit_code.h
@@ -3,13 +3,17 @@
 
 namespace samphire {
 
-// What scripts go by; the numbers are a contract.
+// The exit codes of samphirectl. Scripts depend on the numbers, so they never
+// change.
 enum class exit_code {
+  // The command succeeded.
   kDone = 0,
-  // Refused with a numbered code: not in force, not done.
+  // Refused with a numbered result code: the change is not in force.
   kRefused = 1,
+  // The command line is wrong; nothing was sent.
   kUsage = 2,
-  // It may have happened or not; the output says how to find out.
+  // The change may or may not have taken effect; the output names the command
+  // that finds out.
   kUnknown = 3,
 };
 
--- a/src/ctl/explain_command.cc
+++ b/src/ctl/explain_command.cc
@@ -8,8 +8,9 @@
 
 namespace samphire {
 
+// The last argument is the request id, all others are log files.
 exit_code ExplainRequest(command_context& context) {
-  auto files = context.words;
+  auto files = context.arguments;
   const auto request = files.back();
   files.pop_back();
   log_story story(request);
@@ -23,7 +24,7 @@
   if (text.empty())
     return context.out.Refused(
         MakeError(result_code::kRequestNotLogged, request));
-  text += fmt::format("lines that are no JSON: {}", story.unreadable());
+  text += fmt::format("lines that are not JSON: {}", story.unreadable());
   return context.out.Done(text);
 }
 
--- a/src/ctl/ledger_commands.cc
+++ b/src/ctl/ledger_commands.cc
@@ -8,6 +8,7 @@
 
 using Poco::JSON::Object;
 
+// Returns the non-empty fields of the record in the response, one a line.
 std::string RecordText(const Object& body) {
   std::string text;
   const auto record = body.getObject("record");
@@ -22,10 +23,10 @@
 }
 
 std::string LedgerPath(const command_context& context) {
-  return "/v1/ledger/" + PathSegment(context.words.front());
+  return "/v1/ledger/" + PathSegment(context.arguments.front());
 }
 
-ctl_answer ReadRecord(const command_context& context) {
+ctl_response ReadRecord(const command_context& context) {
   return context.client.Read(
       {"GET", LedgerPath(context), {{"service", context.options.service}}, ""});
 }
@@ -33,36 +34,36 @@
 }  // namespace
 
 exit_code ShowLedger(command_context& context) {
-  const auto answer = ReadRecord(context);
-  if (answer.failure || answer.outcome.code != result_code::kOk)
-    return context.out.Refused(answer.outcome, answer.body);
-  return context.out.Done(RecordText(*answer.body), answer.body);
+  const auto response = ReadRecord(context);
+  if (response.failure || response.outcome.code != result_code::kOk)
+    return context.out.Refused(response.outcome, response.body);
+  return context.out.Done(RecordText(*response.body), response.body);
 }
 
-// A lost answer is settled by looking at the record: if it now says what was
-// asked for, settled by this operator, the call took effect.
+// If the response is lost, the record itself is read: if it has the requested
+// state and was resolved by this operator, the call took effect.
 exit_code ResolveLedger(command_context& context) {
   const auto& options = context.options;
-  auto answer = context.client.Change({"POST",
-                                       LedgerPath(context) + "/resolve",
-                                       {{"service", options.service},
-                                        {"as", options.as},
-                                        {"operator", options.operator_name},
-                                        {"reason", options.reason}},
-                                       ""});
-  if (answer.failure == call_failure::kAnswerLost) {
+  auto response = context.client.Change({"POST",
+                                         LedgerPath(context) + "/resolve",
+                                         {{"service", options.service},
+                                          {"as", options.as},
+                                          {"operator", options.operator_name},
+                                          {"reason", options.reason}},
+                                         ""});
+  if (response.failure == call_failure::kResponseLost) {
     const auto now = ReadRecord(context);
     const auto record = now.body ? now.body->getObject("record") : nullptr;
     if (record && record->optValue<std::string>("state", "") == options.as &&
         record->optValue<std::string>("settled_by", "") ==
             options.operator_name)
-      answer = now;
+      response = now;
   }
-  if (!answer.failure && answer.outcome.code == result_code::kOk)
-    return context.out.Done(RecordText(*answer.body), answer.body);
+  if (!response.failure && response.outcome.code == result_code::kOk)
+    return context.out.Done(RecordText(*response.body), response.body);
   return context.out.Failed(
-      answer, fmt::format("samphirectl ledger show {} --service={}",
-                          context.words.front(), options.service));
+      response, fmt::format("samphirectl ledger show {} --service={}",
+                            context.arguments.front(), options.service));
 }
 
 }  // namespace samphire
--- a/src/ctl/log_files.cc
+++ b/src/ctl/log_files.cc
@@ -4,8 +4,8 @@
 
 namespace samphire {
 
-// Works on files alone, since whoever asks has the logs of entries that may be
-// long gone.
+// Reads files only and contacts no entry, since logs are often examined when
+// the entries that wrote them no longer exist.
 result<void> ReadLogFiles(const std::vector<std::string>& paths,
                           const std::function<void(std::string_view)>& read) {
   for (const auto& path : paths) {
--- a/src/ctl/log_files.h
+++ b/src/ctl/log_files.h
@@ -10,8 +10,9 @@
 
 namespace samphire {
 
-// Gives every line of the files to `read`. kFileUnreadable with the path of the
-// first that can't be opened.
+// Calls `read` with every line of the files, in order. Fails with
+// kFileUnreadable and the path of the first file that cannot be opened; the
+// lines of the files before it have been read by then.
 result<void> ReadLogFiles(const std::vector<std::string>& paths,
                           const std::function<void(std::string_view)>& read);
 
--- a/src/ctl/losses_command.cc
+++ b/src/ctl/losses_command.cc
@@ -7,7 +7,7 @@
 exit_code SummarizeLosses(command_context& context) {
   log_losses losses;
   const auto read = ReadLogFiles(
-      context.words, [&](std::string_view line) { losses.Read(line); });
+      context.arguments, [&](std::string_view line) { losses.Read(line); });
   if (!read)
     return context.out.Refused(read.error());
   return context.out.Done(losses.Text());
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -11,6 +11,7 @@
 
 namespace {
 
+// Parses the command line and runs one command.
 exit_code Run(const std::vector<std::string>& arguments) {
   const report plain(output_format::kText);
   const auto line = ParseCommandLine(arguments);
@@ -24,11 +25,12 @@
   if (!options)
     return plain.Usage(options.error());
   const report out(options.value().output);
-  const auto found = FindCommand(line.value().words, options.value());
+  const auto found = FindCommand(line.value().positional, options.value());
   if (!found)
     return out.Usage(found.error());
   command_context context{
-      options.value(), WordsBehind(*found.value(), line.value().words),
+      options.value(),
+      CommandArguments(*found.value(), line.value().positional),
       operator_client(options.value().operator_urls, options.value().token,
                       options.value().timeout),
       out};
@@ -39,16 +41,18 @@
 
 }  // namespace samphire
 
-// An exception that nobody foresaw says nothing about what the entry did.
+// An unexpected exception does not tell whether the entry executed the call, so
+// the exit code is kUnknown.
 int main(int argc, char** argv) {
   try {
     return static_cast<int>(
         samphire::Run(std::vector<std::string>(argv + 1, argv + argc)));
   } catch (const std::exception& exception) {
-    fmt::print(stderr,
-               "unexpected: {}\nTo find out what was done: samphirectl "
-               "config history\n",
-               exception.what());
+    fmt::print(
+        stderr,
+        "unexpected error: {}\nTo find out what was changed: samphirectl "
+        "config history\n",
+        exception.what());
     return static_cast<int>(samphire::exit_code::kUnknown);
   }
 }
--- a/src/ctl/operator_client.cc
+++ b/src/ctl/operator_client.cc
@@ -19,17 +19,20 @@
 
 namespace {
 
+// Size of the buffer for reading a response body.
 constexpr int kReadBytes = 16384;
 constexpr const char* kResultHeader = "Samphirewinch-Result";
 
-ctl_answer Failed(call_failure failure, const std::string& detail) {
-  ctl_answer answer;
+// Returns the outcome of a call without a usable response.
+ctl_response Failed(call_failure failure, const std::string& detail) {
+  ctl_response answer;
   answer.outcome = MakeError(result_code::kEntryUnreachable, detail);
   answer.failure = failure;
   return answer;
 }
 
-std::string TargetOf(const ctl_call& call) {
+// Returns the path with the encoded query.
+std::string RequestTarget(const ctl_call& call) {
   Poco::URI uri;
   for (const auto& [name, value] : call.parameters)
     uri.addQueryParameter(name, value);
@@ -37,8 +40,10 @@
   return query.empty() ? call.path : call.path + "?" + query;
 }
 
-// Entries say their code in a header, whatever the body is.
-std::optional<result_code> CodeOf(const Poco::Net::HTTPResponse& response) {
+// Returns the result code of a response. Entries send it in a header,
+// independent of the body.
+std::optional<result_code> ResultCodeFromHeader(
+    const Poco::Net::HTTPResponse& response) {
   const auto header = response.get(kResultHeader, "");
   int number = 0;
   const auto [end, failure] =
@@ -46,16 +51,18 @@
   return failure == std::errc() ? ResultCodeOf(number) : std::nullopt;
 }
 
-// An answer without a code came from something else than an entry, or was cut;
-// either way nothing is known of the call.
-ctl_answer Understood(const Poco::Net::HTTPResponse& response,
-                      const std::string& text,
-                      const std::string& url) {
-  const auto code = CodeOf(response);
+// Converts an HTTP response. A response without a result code came from
+// something other than an entry, or was truncated; in both cases it is unknown
+// whether the call was executed.
+ctl_response ParseResponse(const Poco::Net::HTTPResponse& response,
+                           const std::string& text,
+                           const std::string& url) {
+  const auto code = ResultCodeFromHeader(response);
   const auto parsed = ReadJsonText(text);
   if (!code || (*code == result_code::kOk && !parsed))
-    return Failed(call_failure::kAnswerLost, url + ": not an entry's answer");
-  ctl_answer answer;
+    return Failed(call_failure::kResponseLost,
+                  url + ": response is not from an entry or is truncated");
+  ctl_response answer;
   answer.outcome = MakeError(*code);
   if (parsed) {
     answer.body = parsed.value();
@@ -65,6 +72,7 @@
   return answer;
 }
 
+// Reads the body to its end, or until it exceeds kMaxJsonBytes.
 std::string ReadAll(std::istream& stream) {
   std::string text;
   std::string piece(kReadBytes, '\0');
@@ -75,8 +83,9 @@
   return text;
 }
 
-// Refusals of an entry that did not look at the call: another may take it.
-bool IsTurnedAway(const ctl_answer& answer) {
+// Returns whether an entry refused the call before processing it, so that
+// another entry may safely be called.
+bool IsRefusedUnprocessed(const ctl_response& answer) {
   if (answer.failure)
     return false;
   const auto code = answer.outcome.code;
@@ -85,10 +94,12 @@
          code == result_code::kNoConfiguration;
 }
 
-ctl_answer Exchange(Poco::Net::HTTPClientSession& session,
-                    Poco::Net::HTTPRequest& request,
-                    const std::string& body,
-                    const std::string& url) {
+// Sends the request on a connected session and reads the response. Any failure
+// from here on leaves it unknown whether the call was executed.
+ctl_response Exchange(Poco::Net::HTTPClientSession& session,
+                      Poco::Net::HTTPRequest& request,
+                      const std::string& body,
+                      const std::string& url) {
   try {
     auto& out = session.sendRequest(request);
     out << body << std::flush;
@@ -96,10 +107,11 @@
     const auto text = ReadAll(session.receiveResponse(response));
     const auto announced = response.getContentLength64();
     if (announced > static_cast<Poco::Int64>(text.size()))
-      return Failed(call_failure::kAnswerLost, url + ": answer cut short");
-    return Understood(response, text, url);
+      return Failed(call_failure::kResponseLost,
+                    url + ": response shorter than its Content-Length");
+    return ParseResponse(response, text, url);
   } catch (const Poco::Exception& exception) {
-    return Failed(call_failure::kAnswerLost,
+    return Failed(call_failure::kResponseLost,
                   fmt::format("{}: {}", url, exception.displayText()));
   }
 }
@@ -111,61 +123,63 @@
                                  milliseconds timeout)
     : urls_(std::move(urls)), token_(std::move(token)), timeout_(timeout) {}
 
-ctl_answer operator_client::Read(const ctl_call& call) const {
-  auto answer = Failed(call_failure::kNotSent, "no address given");
+ctl_response operator_client::Read(const ctl_call& call) const {
+  auto answer = Failed(call_failure::kNotSent, "no entry address given");
   for (const auto& url : urls_) {
-    answer = CallOne(url, call);
+    answer = CallEntry(url, call);
     if (!answer.failure && !InfoOf(answer.outcome.code).retryable)
       break;
   }
   return answer;
 }
 
-// Sent twice, a change could be accepted twice, or refused the second time for
-// what the first did. So after a lost answer nothing is sent again; the
-// command finds out instead.
-ctl_answer operator_client::Change(const ctl_call& call) const {
-  auto answer = Failed(call_failure::kNotSent, "no address given");
+// A change that is sent twice could be accepted twice, or be refused the second
+// time because the first took effect. So nothing is resent after a lost
+// response; the command looks up the outcome instead.
+ctl_response operator_client::Change(const ctl_call& call) const {
+  auto answer = Failed(call_failure::kNotSent, "no entry address given");
   for (const auto& url : urls_) {
-    answer = CallOne(url, call);
-    if (answer.failure != call_failure::kNotSent && !IsTurnedAway(answer))
+    answer = CallEntry(url, call);
+    if (answer.failure != call_failure::kNotSent &&
+        !IsRefusedUnprocessed(answer))
       break;
   }
   return answer;
 }
 
-// An entry that has just gone silent may be frozen, and each question to it
-// would then cost a whole timeout.
-operator_client operator_client::AskingLast(const std::string& url) const {
+// An entry that has just stopped responding may be frozen, and each further
+// call to it would cost a full timeout.
+operator_client operator_client::WithUrlLast(const std::string& url) const {
   auto reordered = *this;
   std::stable_partition(reordered.urls_.begin(), reordered.urls_.end(),
                         [&url](const auto& one) { return one != url; });
   return reordered;
 }
 
-ctl_answer operator_client::CallOne(const std::string& url,
-                                    const ctl_call& call) const {
+ctl_response operator_client::CallEntry(const std::string& url,
+                                        const ctl_call& call) const {
   auto answer = Send(url, call);
   answer.url = url;
   return answer;
 }
 
-// Connecting is a step of its own, since only its failure proves that nothing
-// was sent.
-ctl_answer operator_client::Send(const std::string& url,
-                                 const ctl_call& call) const {
+// Connects in a separate step, because only a failure to connect proves that
+// nothing was sent.
+ctl_response operator_client::Send(const std::string& url,
+                                   const ctl_call& call) const {
   const Poco::Timespan timeout(microseconds(timeout_).count());
   try {
     const Poco::URI uri(url);
     Poco::Net::StreamSocket socket;
     socket.connect(Poco::Net::SocketAddress(uri.getHost(), uri.getPort()),
                    timeout);
-    // A session sets its own timeout only on sockets that it connects itself.
+    // Poco applies the timeout of a session only to sockets that the session
+    // connects itself.
     socket.setReceiveTimeout(timeout);
     socket.setSendTimeout(timeout);
     Poco::Net::HTTPClientSession session(socket);
     session.setKeepAlive(false);
-    Poco::Net::HTTPRequest request(call.method, TargetOf(call),
+    Poco::Net::HTTPRequest request(call.method, RequestTarget(call),
                                    Poco::Net::HTTPMessage::HTTP_1_1);
     request.setHost(uri.getHost(), uri.getPort());
     if (!token_.empty())
--- a/src/ctl/output_format.h
+++ b/src/ctl/output_format.h
@@ -5,6 +5,8 @@
 
 namespace samphire {
 
+// The values of --output: aligned text for people, or the JSON of the entry for
+// scripts.
 enum class output_format { kText, kJson };
 
 inline constexpr enum_names<output_format, 2> kOutputFormatNames{{
--- a/src/ctl/read_commands.cc
+++ b/src/ctl/read_commands.cc
@@ -11,6 +11,7 @@
 
 using Poco::JSON::Object;
 
+// Spaces of indentation in printed JSON.
 constexpr unsigned int kIndent = 2;
 
 std::string Indented(const Object& json) {
@@ -19,18 +20,20 @@
   return text.str();
 }
 
-// Runs `show` on the body of a good answer.
+// Reads `path` and runs `show` on the body of a successful response; reports
+// any other outcome as refused.
 template <typename F>
-exit_code Shown(const command_context& context,
-                const std::string& path,
-                F show) {
-  const auto answer = context.client.Read({"GET", path, {}, ""});
-  if (answer.failure || answer.outcome.code != result_code::kOk)
-    return context.out.Refused(answer.outcome, answer.body);
-  return show(answer.body);
+exit_code ShowResponse(const command_context& context,
+                       const std::string& path,
+                       F show) {
+  const auto response = context.client.Read({"GET", path, {}, ""});
+  if (response.failure || response.outcome.code != result_code::kOk)
+    return context.out.Refused(response.outcome, response.body);
+  return show(response.body);
 }
 
-// Every field, the members as a table of their own.
+// Returns the status as text: the fields of the entry, one line for each
+// member, then the details as JSON.
 std::string StatusText(const Object& body) {
   std::string text;
   for (const auto* name :
@@ -54,15 +57,15 @@
 }  // namespace
 
 exit_code ShowStatus(command_context& context) {
-  return Shown(context, "/v1/status", [&](const Object::Ptr& body) {
+  return ShowResponse(context, "/v1/status", [&](const Object::Ptr& body) {
     return context.out.Done(StatusText(*body), body);
   });
 }
 
-// As text, the declaration alone, so that it can be kept, changed and applied;
-// which version it is goes to standard error.
+// In text format, prints only the declaration to standard output, so that it
+// can be saved, edited and applied again; its version goes to standard error.
 exit_code ShowConfig(command_context& context) {
-  return Shown(context, "/v1/config", [&](const Object::Ptr& body) {
+  return ShowResponse(context, "/v1/config", [&](const Object::Ptr& body) {
     const auto declared = body->getObject("declaration");
     if (context.options.output == output_format::kText) {
       fmt::print(stderr, "version {} by {}, apply id {}\n",
@@ -75,39 +78,42 @@
 }
 
 exit_code ShowHistory(command_context& context) {
-  return Shown(context, "/v1/config/history", [&](const Object::Ptr& body) {
-    return context.out.Table(body, "history",
-                             {"version", "state", "at", "operator", "witness",
-                              "apply_id", "proposal"});
-  });
+  return ShowResponse(
+      context, "/v1/config/history", [&](const Object::Ptr& body) {
+        return context.out.Table(body, "history",
+                                 {"version", "state", "at", "operator",
+                                  "witness", "apply_id", "proposal"});
+      });
 }
 
 exit_code ListDrains(command_context& context) {
-  return Shown(context, "/v1/drains", [&](const Object::Ptr& body) {
+  return ShowResponse(context, "/v1/drains", [&](const Object::Ptr& body) {
     return context.out.Table(
         body, "drains", {"name", "scope", "subject", "starts_at", "deadline"});
   });
 }
 
 exit_code ListUnresolved(command_context& context) {
-  return Shown(context, "/v1/ledger/unresolved", [&](const Object::Ptr& body) {
-    return context.out.Table(
-        body, "records", {"service", "key", "state", "holder", "reserved_at"});
-  });
+  return ShowResponse(
+      context, "/v1/ledger/unresolved", [&](const Object::Ptr& body) {
+        return context.out.Table(
+            body, "records",
+            {"service", "key", "state", "holder", "reserved_at"});
+      });
 }
 
-// Asked as a caller asks, at the caller port and without a token.
+// Sends the lookup as a caller does: to the caller port and without a token.
 exit_code LookUp(command_context& context) {
   const operator_client caller({context.options.caller_url}, "",
                                context.options.timeout);
   ctl_call call{"GET", "/v1/lookup", {}, ""};
-  call.parameters["service"] = context.words.front();
-  if (context.words.size() > 1)
-    call.parameters["client"] = context.words[1];
-  const auto answer = caller.Read(call);
-  if (answer.failure || answer.outcome.code != result_code::kOk)
-    return context.out.Refused(answer.outcome, answer.body);
-  return context.out.Table(answer.body, "entries",
+  call.parameters["service"] = context.arguments.front();
+  if (context.arguments.size() > 1)
+    call.parameters["client"] = context.arguments[1];
+  const auto response = caller.Read(call);
+  if (response.failure || response.outcome.code != result_code::kOk)
+    return context.out.Refused(response.outcome, response.body);
+  return context.out.Table(response.body, "entries",
                            {"name", "address", "region"});
 }
 
--- a/src/ctl/report.cc
+++ b/src/ctl/report.cc
@@ -13,6 +13,7 @@
 
 using Poco::JSON::Object;
 
+// Spaces of indentation in printed JSON.
 constexpr unsigned int kIndent = 2;
 
 std::string TextOf(const Object& json) {
@@ -21,8 +22,9 @@
   return text.str();
 }
 
-// Whatever the entry sent, less nothing, so that scripts see every field.
-Object WholeAnswer(const error& outcome, const Object::Ptr& body) {
+// Returns the complete body of the response, so that scripts see every field.
+// If the body lacks the result code, adds the fields of `outcome`.
+Object ResponseJson(const error& outcome, const Object::Ptr& body) {
   if (body && body->has("code"))
     return *body;
   Object json(Poco::JSON_PRESERVE_KEY_ORDER);
@@ -37,6 +39,8 @@
   return json;
 }
 
+// Returns the number, name, location and detail of the error, then a line that
+// explains the code.
 std::string ErrorText(const error& reason) {
   const auto& info = InfoOf(reason.code);
   auto text = fmt::format("{} {}", static_cast<int>(info.code), info.name);
@@ -47,10 +51,11 @@
   return fmt::format("{}\n{}", text, info.meaning);
 }
 
+// The rows of a table, the column headings first.
 using table = std::vector<std::vector<std::string>>;
 
-table CellsOf(const Poco::JSON::Array& rows,
-              const std::vector<std::string>& columns) {
+table TableCells(const Poco::JSON::Array& rows,
+                 const std::vector<std::string>& columns) {
   table cells{columns};
   for (unsigned int i = 0; i < rows.size(); ++i) {
     std::vector<std::string> line;
@@ -63,7 +68,8 @@
   return cells;
 }
 
-std::string Aligned(const table& cells) {
+// Pads each column to its widest cell and separates columns by two spaces.
+std::string AlignColumns(const table& cells) {
   std::vector<std::size_t> widths(cells.front().size());
   for (const auto& line : cells) {
     for (std::size_t i = 0; i < line.size(); ++i)
@@ -84,7 +90,7 @@
 
 exit_code report::Done(const std::string& text, const Object::Ptr& body) const {
   if (format_ == output_format::kJson)
-    Tell(error{}, body, "");
+    Print(error{}, body, "");
   else
     fmt::print("{}{}", text, text.ends_with('\n') ? "" : "\n");
   return exit_code::kDone;
@@ -93,26 +99,26 @@
 exit_code report::Refused(const error& reason,
                           const Object::Ptr& body,
                           const std::string& advice) const {
-  Tell(reason, body, advice);
+  Print(reason, body, advice);
   return exit_code::kRefused;
 }
 
 exit_code report::Unknown(const error& reason,
-                          const std::string& how_to_find_out) const {
-  Tell(reason, {}, "To find out: " + how_to_find_out);
+                          const std::string& verify_command) const {
+  Print(reason, {}, "To find out: " + verify_command);
   return exit_code::kUnknown;
 }
 
 exit_code report::Usage(const error& reason) const {
-  Tell(reason, {}, "samphirectl --help explains by example.");
+  Print(reason, {}, "samphirectl --help lists the commands with examples.");
   return exit_code::kUsage;
 }
 
-exit_code report::Failed(const ctl_answer& answer,
-                         const std::string& how_to_find_out) const {
-  if (answer.failure == call_failure::kAnswerLost)
-    return Unknown(answer.outcome, how_to_find_out);
-  return Refused(answer.outcome, answer.body);
+exit_code report::Failed(const ctl_response& response,
+                         const std::string& verify_command) const {
+  if (response.failure == call_failure::kResponseLost)
+    return Unknown(response.outcome, verify_command);
+  return Refused(response.outcome, response.body);
 }
 
 exit_code report::Table(const Object::Ptr& body,
@@ -121,19 +127,19 @@
   const auto rows = body->getArray(name);
   if (!rows || rows->size() == 0)
     return Done("none", body);
-  return Done(Aligned(CellsOf(*rows, columns)), body);
+  return Done(AlignColumns(TableCells(*rows, columns)), body);
 }
 
-void report::Tell(const error& outcome,
-                  const Object::Ptr& body,
-                  std::string_view advice) const {
+void report::Print(const error& outcome,
+                   const Object::Ptr& body,
+                   std::string_view advice) const {
   if (format_ == output_format::kText) {
     fmt::print(stderr, "{}\n", ErrorText(outcome));
     if (!advice.empty())
       fmt::print(stderr, "{}\n", advice);
     return;
   }
-  auto json = WholeAnswer(outcome, body);
+  auto json = ResponseJson(outcome, body);
   if (!advice.empty())
     json.set("advice", std::string(advice));
   fmt::print("{}\n", TextOf(json));
--- a/src/entry/main.cc
+++ b/src/entry/main.cc
@@ -31,20 +31,24 @@
 using samphire::error;
 using samphire::result;
 
+// Exit codes: startup refused because of its settings or secrets, or failed;
+// and a wrong command line.
 constexpr int kExitRefused = 1;
 constexpr int kExitUsage = 2;
-// Operators and their scripts; kept apart from callers, so that a crowd of
-// those never shuts an operator out.
-constexpr std::uint32_t kOperatorConnections = 32;
+// Bounds the connections at the operator port. The limit is separate from that
+// of the caller port, so that a flood of callers never locks operators out.
+constexpr std::uint32_t kMaxOperatorConnections = 32;
 
 constexpr const char* kUsage =
-    "serves look-ups and requests of callers.\n\n"
+    "serves lookups and requests of callers.\n\n"
     "  samphire-entry --settings=entry-1.json\n"
     "  samphire-entry --settings=entry-1.json --check\n"
     "  samphire-entry --settings=entry-1.json --log_level=debug\n\n"
-    "SIGTERM or SIGINT: leaves look-ups, finishes what runs, exits 0.";
+    "SIGTERM or SIGINT: withdraws from lookups, finishes running requests, "
+    "exits 0.";
 
-int Refuse(const error& why) {
+// Prints why startup is refused and returns the exit code.
+int PrintError(const error& why) {
   fmt::print(stderr, "{} {}: {}{}{}\n", static_cast<int>(why.code),
              samphire::NameOf(why.code), why.detail,
              why.pointer.empty() ? "" : " at ", why.pointer);
@@ -61,20 +65,24 @@
   return samphire::ReadEntrySettings(text);
 }
 
+// Runs the entry until SIGTERM or SIGINT, then drains it. The signals are
+// blocked before any thread starts, so that only sigwait receives them; SIGPIPE
+// is ignored, so that a closed connection gives an error instead of ending the
+// process.
 int Run(const samphire::entry_settings& settings,
         samphire::node_secrets secrets) {
   const auto signals = samphire::BlockSignals({SIGTERM, SIGINT});
   std::signal(SIGPIPE, SIG_IGN);
   const auto token = secrets.operator_token;
   samphire::entry_node node(settings, std::move(secrets));
-  samphire::operator_service operators(node);
-  samphire::front_server operator_front(
+  samphire::operator_service operator_calls(node);
+  samphire::front_server operator_port(
       settings.operator_address,
-      new samphire::operator_handler_factory(operators, token, {},
+      new samphire::operator_handler_factory(operator_calls, token, {},
                                              node.counters()),
-      {.max_connections = kOperatorConnections}, node.counters());
+      {.max_connections = kMaxOperatorConnections}, node.counters());
   node.Start();
-  operator_front.Start();
+  operator_port.Start();
   int received = 0;
   sigwait(&signals, &received);
   node.Drain();
@@ -94,11 +102,11 @@
   }
   const auto settings = ReadSettings(absl::GetFlag(FLAGS_settings));
   if (!settings)
-    return Refuse(settings.error());
+    return PrintError(settings.error());
   samphire::ConfigureLog(settings.value().instance, *level);
   auto secrets = samphire::LoadSecrets(settings.value());
   if (!secrets)
-    return Refuse(secrets.error());
+    return PrintError(secrets.error());
   if (absl::GetFlag(FLAGS_check))
     return 0;
   try {
--- a/src/entry/operator/history_entry.h
+++ b/src/entry/operator/history_entry.h
@@ -9,16 +9,19 @@
 
 namespace samphire {
 
-// One change of the configuration and who stands behind it.
+// One change of the configuration and the operators responsible for it.
 struct history_entry {
-  // 0 for a change that is proposed only.
+  // The configuration version that the change created; 0 while it is only
+  // proposed.
   std::uint64_t version = 0;
   std::string apply_id;
   std::string operator_name;
-  // Who witnessed it, and the proposal's id; empty if none was needed.
+  // The operator who approved the change, and the id of the proposal; empty if
+  // no approval was needed.
   std::string witness;
   std::string proposal;
   history_state state = history_state::kAccepted;
+  // When the change was accepted; unset for a proposal.
   wall_time at;
 };
 
--- a/src/entry/operator/history_state.h
+++ b/src/entry/operator/history_state.h
@@ -5,6 +5,8 @@
 
 namespace samphire {
 
+// Whether a change in the history is in force or superseded by a later one
+// (kAccepted), or still awaits the approval of a second operator (kProposed).
 enum class history_state { kAccepted, kProposed };
 
 inline constexpr enum_names<history_state, 2> kHistoryStateNames{{
--- a/src/entry/operator/ledger_query.h
+++ b/src/entry/operator/ledger_query.h
@@ -5,7 +5,7 @@
 
 namespace samphire {
 
-// Which reservation is meant.
+// Identifies one reservation: the service and the idempotency key within it.
 struct ledger_query {
   std::string service;
   std::string key;
--- a/src/entry/operator/ledger_resolution.h
+++ b/src/entry/operator/ledger_resolution.h
@@ -5,8 +5,8 @@
 
 namespace samphire {
 
-// How an operator settles a reservation in doubt: it did run, or it did not
-// and may be tried again.
+// How an operator resolves a reservation whose outcome is unknown: the request
+// was executed (kDone), or it was not and may be retried (kReleased).
 enum class ledger_resolution { kDone, kReleased };
 
 inline constexpr enum_names<ledger_resolution, 2> kLedgerResolutionNames{{
--- a/src/entry/operator/ledger_resolve_request.h
+++ b/src/entry/operator/ledger_resolve_request.h
@@ -8,7 +8,8 @@
 
 namespace samphire {
 
-// An operator's settlement of a reservation in doubt.
+// The request of an operator to resolve a reservation whose outcome is unknown.
+// The name and the reason are stored with the record.
 struct ledger_resolve_request {
   ledger_query which;
   ledger_resolution as = ledger_resolution::kDone;
--- a/src/entry/operator/member_status.h
+++ b/src/entry/operator/member_status.h
@@ -6,12 +6,13 @@
 
 namespace samphire {
 
-// A member as one entry knows it.
+// The status of one member of the fleet as known to the entry that responds.
 struct member_status {
   std::string name;
   std::string region;
-  // "alive", "leaving", "suspect" or "dead".
+  // The membership state: "alive", "leaving", "suspect" or "dead".
   std::string state;
+  // The configuration version that the member last advertised.
   std::uint64_t config_version = 0;
 };
 
--- a/src/entry/operator/operator_call.cc
+++ b/src/entry/operator/operator_call.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Split before decoding: a ledger key may hold a slash.
+// Splits the path before decoding the segments, because a ledger key may
+// contain an encoded slash.
 std::vector<std::string> DecodedSegments(std::string_view path) {
   std::vector<std::string> segments;
   while (!path.empty() && path.front() == '/') {
@@ -32,7 +33,8 @@
   try {
     call.segments =
         DecodedSegments(std::string_view(target).substr(0, target.find('?')));
-    // Of a name given twice neither can be trusted to be the one meant.
+    // A parameter given twice is refused, since it is ambiguous which value is
+    // meant.
     for (const auto& [name, value] : Poco::URI(target).getQueryParameters()) {
       if (!call.parameters.emplace(name, value).second) {
         return MakeError(result_code::kMalformedRequest,
--- a/src/entry/operator/operator_call.h
+++ b/src/entry/operator/operator_call.h
@@ -9,16 +9,18 @@
 
 namespace samphire {
 
-// One call of an operator, taken apart.
+// One parsed HTTP call of an operator.
 struct operator_call {
   std::string method;
-  // The path's segments, decoded.
+  // The segments of the path, percent-decoded.
   std::vector<std::string> segments;
+  // The query parameters, percent-decoded.
   std::map<std::string, std::string> parameters;
   std::string body;
 };
 
-// Takes a request's method and target apart; `target` is as it was sent.
+// Parses a request's method and target; `target` is the raw text of the request
+// line. The body is left empty. Fails with kMalformedRequest.
 result<operator_call> ParseOperatorCall(const std::string& method,
                                         const std::string& target);
 
--- a/src/entry/operator/operator_handler.cc
+++ b/src/entry/operator/operator_handler.cc
@@ -17,9 +17,12 @@
 namespace {
 
 constexpr std::string_view kBearer = "Bearer ";
+// Size of the buffer for reading a request body.
 constexpr std::size_t kReadBytes = 16384;
+// Value of Retry-After on errors that are worth retrying.
 constexpr const char* kRetryAfterSeconds = "1";
 
+// Returns the result code of a call, be it a refusal or an outcome.
 error OutcomeOf(const result<operator_outcome>& answer) {
   return answer.has_error() ? answer.error() : MakeError(answer.value().code);
 }
@@ -34,7 +37,7 @@
 
 void operator_handler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                      Poco::Net::HTTPServerResponse& response) {
-  const auto answer = Answer(request);
+  const auto answer = HandleCall(request);
   const auto outcome = OutcomeOf(answer);
   const auto& info = InfoOf(outcome.code);
   metrics_.Count("operator_calls_total",
@@ -47,12 +50,13 @@
        {"detail", outcome.detail}});
   if (answer.has_error()) {
     metrics_.CountRefusal(outcome.code);
-    // Part of the body may be unread; the next call must not start within it.
+    // Part of the body may be unread and must not be parsed as the next
+    // request, so the connection is closed.
     response.setKeepAlive(false);
   }
   const auto body =
-      OperatorAnswerText(outcome, answer.has_error() ? Poco::JSON::Object()
-                                                     : answer.value().fields);
+      OperatorResponseText(outcome, answer.has_error() ? Poco::JSON::Object()
+                                                       : answer.value().fields);
   response.setStatus(
       static_cast<Poco::Net::HTTPResponse::HTTPStatus>(info.http_status));
   response.set("Samphirewinch-Result",
@@ -63,9 +67,9 @@
   response.sendBuffer(body.data(), body.size());
 }
 
-// The token comes first: who has none learns neither which calls there are nor
-// makes the entry read a body.
-result<operator_outcome> operator_handler::Answer(
+// Checks the token first: an unauthorized client learns nothing about which
+// calls exist and cannot make the entry read a body.
+result<operator_outcome> operator_handler::HandleCall(
     Poco::Net::HTTPServerRequest& request) {
   if (!IsAuthorized(request))
     return MakeError(result_code::kUnauthorized);
@@ -83,11 +87,12 @@
          SecretEquals(token_, std::string_view(given).substr(kBearer.size()));
 }
 
-// Bounded in bytes and in time: an operator's connection that stalls must not
-// hold a thread that another operator needs in an incident. Only what has
-// arrived is taken at a time, since read() would wait for a whole piece and a
-// sender of single bytes would outlast any deadline. A body shorter than
-// announced was cut on its way and is never taken for the whole file.
+// Bounds the body in bytes and in time, because a stalled connection must not
+// occupy a thread that another operator needs during an incident. Takes only
+// the bytes that have arrived: read() would wait for a full buffer, so that a
+// client sending single bytes would exceed any deadline. A body shorter than
+// its Content-Length was truncated in transit and is never treated as the
+// complete file.
 result<std::string> operator_handler::ReadBody(
     Poco::Net::HTTPServerRequest& request) const {
   const auto announced = request.getContentLength64();
@@ -107,7 +112,8 @@
       return MakeError(result_code::kRequestTooSlow);
   }
   if (announced > static_cast<Poco::Int64>(body.size()))
-    return MakeError(result_code::kMalformedRequest, "the body was cut short");
+    return MakeError(result_code::kMalformedRequest,
+                     "body shorter than its Content-Length");
   return body;
 }
 
--- a/src/entry/operator/operator_handler.h
+++ b/src/entry/operator/operator_handler.h
@@ -12,7 +12,9 @@
 
 namespace samphire {
 
-// Answers one operator call over HTTP.
+// Serves one call of an operator over HTTP. Created for each request and used
+// by one thread; `api`, `token` and `counters` are shared by all handlers and
+// must outlive it.
 class operator_handler final : public Poco::Net::HTTPRequestHandler {
  public:
   operator_handler(operator_api& api,
@@ -24,8 +26,10 @@
                      Poco::Net::HTTPServerResponse& response) override;
 
  private:
-  result<operator_outcome> Answer(Poco::Net::HTTPServerRequest& request);
+  // Authorizes, parses and dispatches the call.
+  result<operator_outcome> HandleCall(Poco::Net::HTTPServerRequest& request);
   bool IsAuthorized(const Poco::Net::HTTPServerRequest& request) const;
+  // Reads the body within the limits on bytes and time.
   result<std::string> ReadBody(Poco::Net::HTTPServerRequest& request) const;
 
   operator_api& api_;
--- a/src/entry/operator/operator_handler_factory.h
+++ b/src/entry/operator/operator_handler_factory.h
@@ -10,7 +10,9 @@
 
 namespace samphire {
 
-// Makes the handlers of the operator port. `api` and `counters` outlive it.
+// Creates the request handlers of the operator port. `api` and `counters` must
+// outlive the factory, and the factory its handlers, which refer to its token.
+// An empty `token` refuses every call.
 class operator_handler_factory final
     : public Poco::Net::HTTPRequestHandlerFactory {
  public:
--- a/src/entry/operator/operator_json.cc
+++ b/src/entry/operator/operator_json.cc
@@ -15,13 +15,16 @@
 using Poco::JSON::Array;
 using Poco::JSON::Object;
 
-Object Ordered() {
+// Returns an empty object that keeps the order of its fields.
+Object OrderedObject() {
   return Object(Poco::JSON_PRESERVE_KEY_ORDER);
 }
 
-// A part that is JSON text already; one that can't be read is left out of the
-// answer rather than taking the whole answer with it.
-void SetText(Object& json, const std::string& name, const std::string& text) {
+// Sets a field from JSON text. Text that does not parse is omitted, so that it
+// does not invalidate the rest of the response.
+void SetJsonText(Object& json,
+                 const std::string& name,
+                 const std::string& text) {
   if (const auto parsed = ReadJsonText(text))
     json.set(name, parsed.value());
 }
@@ -36,13 +39,13 @@
 
 template <typename T, typename F>
 Object ListAs(const std::string& name, const std::vector<T>& items, F write) {
-  auto json = Ordered();
+  auto json = OrderedObject();
   json.set(name, ListOf(items, write));
   return json;
 }
 
-Object EntryJson(const history_entry& entry) {
-  auto json = Ordered();
+Object HistoryEntryJson(const history_entry& entry) {
+  auto json = OrderedObject();
   json.set("version", static_cast<Poco::UInt64>(entry.version));
   json.set("state", std::string(NameOf(kHistoryStateNames, entry.state)));
   json.set("apply_id", entry.apply_id);
@@ -54,7 +57,7 @@
 }
 
 Object MemberJson(const member_status& member) {
-  auto json = Ordered();
+  auto json = OrderedObject();
   json.set("name", member.name);
   json.set("region", member.region);
   json.set("state", member.state);
@@ -62,8 +65,8 @@
   return json;
 }
 
-Object RecordJson(const ledger_answer& record) {
-  auto json = Ordered();
+Object ReservationJson(const reservation_status& record) {
+  auto json = OrderedObject();
   json.set("service", record.service);
   json.set("key", record.key);
   json.set("state", record.state);
@@ -80,35 +83,35 @@
 
 }  // namespace
 
-Object JsonOf(const apply_answer& answer) {
-  auto json = Ordered();
-  json.set("version", static_cast<Poco::UInt64>(answer.version));
-  json.set("proposal", answer.proposal);
+Object JsonOf(const apply_response& response) {
+  auto json = OrderedObject();
+  json.set("version", static_cast<Poco::UInt64>(response.version));
+  json.set("proposal", response.proposal);
   return json;
 }
 
-Object JsonOf(const config_answer& answer) {
-  auto json = Ordered();
-  json.set("version", static_cast<Poco::UInt64>(answer.version));
-  json.set("apply_id", answer.apply_id);
-  json.set("operator", answer.operator_name);
-  SetText(json, "declaration", answer.text);
+Object JsonOf(const config_response& response) {
+  auto json = OrderedObject();
+  json.set("version", static_cast<Poco::UInt64>(response.version));
+  json.set("apply_id", response.apply_id);
+  json.set("operator", response.operator_name);
+  SetJsonText(json, "declaration", response.text);
   return json;
 }
 
 Object JsonOf(const std::vector<history_entry>& history) {
-  return ListAs("history", history, EntryJson);
+  return ListAs("history", history, HistoryEntryJson);
 }
 
-Object JsonOf(const status_answer& status) {
-  auto json = Ordered();
+Object JsonOf(const status_response& status) {
+  auto json = OrderedObject();
   json.set("instance", status.instance);
   json.set("region", status.region);
   json.set("config_version", static_cast<Poco::UInt64>(status.config_version));
   json.set("config_age_ms",
            static_cast<Poco::Int64>(status.config_age.count()));
   json.set("members", ListOf(status.members, MemberJson));
-  SetText(json, "details", status.details);
+  SetJsonText(json, "details", status.details);
   return json;
 }
 
@@ -116,18 +119,18 @@
   return ListAs("drains", drains, DrainJson);
 }
 
-Object JsonOf(const std::vector<ledger_answer>& records) {
-  return ListAs("records", records, RecordJson);
+Object JsonOf(const std::vector<reservation_status>& records) {
+  return ListAs("records", records, ReservationJson);
 }
 
-Object JsonOf(const ledger_answer& record) {
-  auto json = Ordered();
-  json.set("record", RecordJson(record));
+Object JsonOf(const reservation_status& record) {
+  auto json = OrderedObject();
+  json.set("record", ReservationJson(record));
   return json;
 }
 
-std::string OperatorAnswerText(const error& outcome, const Object& fields) {
-  auto json = Ordered();
+std::string OperatorResponseText(const error& outcome, const Object& fields) {
+  auto json = OrderedObject();
   json.set("code", static_cast<int>(outcome.code));
   json.set("name", std::string(NameOf(outcome.code)));
   json.set("detail", outcome.detail);
--- a/src/entry/operator/operator_json.h
+++ b/src/entry/operator/operator_json.h
@@ -10,18 +10,20 @@
 
 namespace samphire {
 
-// The JSON of answers to operators, less the result code.
-Poco::JSON::Object JsonOf(const apply_answer& answer);
-Poco::JSON::Object JsonOf(const config_answer& answer);
+// Return the JSON fields of the responses to operators, without the result
+// code.
+Poco::JSON::Object JsonOf(const apply_response& response);
+Poco::JSON::Object JsonOf(const config_response& response);
 Poco::JSON::Object JsonOf(const std::vector<history_entry>& history);
-Poco::JSON::Object JsonOf(const status_answer& status);
+Poco::JSON::Object JsonOf(const status_response& status);
 Poco::JSON::Object JsonOf(const std::vector<drain>& drains);
-Poco::JSON::Object JsonOf(const std::vector<ledger_answer>& records);
-Poco::JSON::Object JsonOf(const ledger_answer& record);
+Poco::JSON::Object JsonOf(const std::vector<reservation_status>& records);
+Poco::JSON::Object JsonOf(const reservation_status& record);
 
-// The whole body of an answer: code, name, detail and pointer, then `fields`.
-std::string OperatorAnswerText(const error& outcome,
-                               const Poco::JSON::Object& fields);
+// Returns the complete body of a response: code, name, detail and pointer, then
+// `fields`.
+std::string OperatorResponseText(const error& outcome,
+                                 const Poco::JSON::Object& fields);
 
 }  // namespace samphire
 
--- a/src/entry/operator/operator_limits.h
+++ b/src/entry/operator/operator_limits.h
@@ -8,10 +8,13 @@
 
 namespace samphire {
 
-// What one operator call may cost.
+// Bounds on one call of an operator, so that a stalled or oversized call cannot
+// occupy a server thread.
 struct operator_limits {
+  // A longer body is refused with kBodyTooLarge.
   std::size_t max_body_bytes = kMaxJsonBytes;
-  // From the head of a call to the end of its body.
+  // Time from the end of the request head to the end of the body; a slower body
+  // is refused with kRequestTooSlow.
   milliseconds body_timeout{10'000};
 };
 
--- a/src/entry/operator/operator_routes.cc
+++ b/src/entry/operator/operator_routes.cc
@@ -13,15 +13,20 @@
 namespace {
 
 using outcome_result = result<operator_outcome>;
+// Runs one operation on the api and returns the fields of its response.
 using operation = outcome_result (*)(operator_api&, const operator_call&);
 
+// Bounds the segments of a route.
 constexpr std::size_t kMaxSegments = 5;
-constexpr std::string_view kAny = "*";
-// Names and ids end up in history and logs; a reason is a sentence or two.
+// Matches any segment of a path.
+constexpr std::string_view kWildcard = "*";
+// Bounds on parameters. Names and ids are stored in the history and the logs; a
+// reason is a sentence or two.
 constexpr std::size_t kMaxNameBytes = 64;
 constexpr std::size_t kMaxReasonBytes = 512;
 constexpr std::size_t kMaxKeyBytes = 255;
 
+// One row of the routing table; unused segments of `path` are empty.
 struct route {
   std::string_view method;
   std::array<std::string_view, kMaxSegments> path;
@@ -38,7 +43,8 @@
   });
 }
 
-// A text that must be there, printable and not over `max_bytes`.
+// Returns a required parameter that must be printable and at most `max_bytes`
+// long.
 result<std::string> Parameter(const operator_call& call,
                               const std::string& name,
                               std::size_t max_bytes) {
@@ -50,6 +56,7 @@
   return found->second;
 }
 
+// Returns the optional version precondition of an apply.
 result<std::optional<std::uint64_t>> ExpectedVersion(
     const operator_call& call) {
   const auto found = call.parameters.find("expect");
@@ -60,26 +67,27 @@
   const auto [end, failure] =
       std::from_chars(text.data(), text.data() + text.size(), version);
   if (failure != std::errc() || end != text.data() + text.size())
-    return Malformed("expect is not a version");
+    return Malformed("expect is not a version number");
   return std::optional(version);
 }
 
 template <typename T>
-outcome_result Shown(const result<T>& answer) {
-  if (answer.has_error())
-    return answer.error();
-  return operator_outcome{result_code::kOk, JsonOf(answer.value())};
-}
-
-// A change that waits for its witness is no failure, yet it is not in force:
-// its code says so, and its id says how to go on.
-outcome_result Changed(const result<apply_answer>& answer) {
-  if (answer.has_error())
-    return answer.error();
-  const auto code = answer.value().proposal.empty()
+outcome_result ReadOutcome(const result<T>& response) {
+  if (response.has_error())
+    return response.error();
+  return operator_outcome{result_code::kOk, JsonOf(response.value())};
+}
+
+// Converts the result of a change. A change that awaits a witness is no
+// failure, but is not in force either: the code says so, and the proposal id in
+// the fields tells how to continue.
+outcome_result ChangeOutcome(const result<apply_response>& response) {
+  if (response.has_error())
+    return response.error();
+  const auto code = response.value().proposal.empty()
                         ? result_code::kOk
                         : result_code::kWitnessNeeded;
-  return operator_outcome{code, JsonOf(answer.value())};
+  return operator_outcome{code, JsonOf(response.value())};
 }
 
 outcome_result Check(operator_api& api, const operator_call& call) {
@@ -91,62 +99,63 @@
   BOOST_OUTCOME_TRY(apply_id, Parameter(call, "apply_id", kMaxNameBytes));
   BOOST_OUTCOME_TRY(name, Parameter(call, "operator", kMaxNameBytes));
   BOOST_OUTCOME_TRY(expect, ExpectedVersion(call));
-  return Changed(api.Apply({apply_id, name, expect, call.body}));
+  return ChangeOutcome(api.Apply({apply_id, name, expect, call.body}));
 }
 
 outcome_result ShowConfig(operator_api& api, const operator_call&) {
-  return Shown(api.Config());
+  return ReadOutcome(api.Config());
 }
 
 outcome_result ShowHistory(operator_api& api, const operator_call&) {
-  return Shown(api.History());
+  return ReadOutcome(api.History());
 }
 
 outcome_result Witness(operator_api& api, const operator_call& call) {
   BOOST_OUTCOME_TRY(name, Parameter(call, "operator", kMaxNameBytes));
-  return Changed(api.Witness({call.segments[2], name}));
+  return ChangeOutcome(api.Witness({call.segments[2], name}));
 }
 
 outcome_result ShowStatus(operator_api& api, const operator_call&) {
-  return Shown(api.Status());
+  return ReadOutcome(api.Status());
 }
 
 outcome_result ListDrains(operator_api& api, const operator_call&) {
-  return Shown(api.Drains());
+  return ReadOutcome(api.Drains());
 }
 
 outcome_result AddDrain(operator_api& api, const operator_call& call) {
   BOOST_OUTCOME_TRY(apply_id, Parameter(call, "apply_id", kMaxNameBytes));
   BOOST_OUTCOME_TRY(name, Parameter(call, "operator", kMaxNameBytes));
   BOOST_OUTCOME_TRY(added, ReadDrain(call.body));
-  return Changed(api.AddDrain({apply_id, name, added}));
+  return ChangeOutcome(api.AddDrain({apply_id, name, added}));
 }
 
 outcome_result RemoveDrain(operator_api& api, const operator_call& call) {
   BOOST_OUTCOME_TRY(apply_id, Parameter(call, "apply_id", kMaxNameBytes));
   BOOST_OUTCOME_TRY(name, Parameter(call, "operator", kMaxNameBytes));
-  return Changed(api.RemoveDrain({apply_id, name, call.segments[2]}));
+  return ChangeOutcome(api.RemoveDrain({apply_id, name, call.segments[2]}));
 }
 
 outcome_result ListUnresolved(operator_api& api, const operator_call&) {
-  return Shown(api.Unresolved());
+  return ReadOutcome(api.Unresolved());
 }
 
 result<ledger_query> QueryOf(const operator_call& call) {
   BOOST_OUTCOME_TRY(service, Parameter(call, "service", kMaxNameBytes));
   const auto& key = call.segments[2];
   if (key.empty() || key.size() > kMaxKeyBytes)
-    return Malformed("the key is empty or too long");
+    return Malformed("ledger key is empty or longer than 255 bytes");
   return ledger_query{service, key};
 }
 
 outcome_result ShowLedger(operator_api& api, const operator_call& call) {
   BOOST_OUTCOME_TRY(query, QueryOf(call));
-  return Shown(api.ShowLedger(query));
+  return ReadOutcome(api.ShowLedger(query));
 }
 
-// Settling by hand overrides what the system knows, so it is never done
-// without a name and a reason that stay with the record.
+// Resolving a reservation by hand overrides the system's own record, so it
+// always requires an operator name and a reason, which are stored with the
+// record.
 outcome_result ResolveLedger(operator_api& api, const operator_call& call) {
   BOOST_OUTCOME_TRY(query, QueryOf(call));
   BOOST_OUTCOME_TRY(as, Parameter(call, "as", kMaxNameBytes));
@@ -154,11 +163,12 @@
   BOOST_OUTCOME_TRY(reason, Parameter(call, "reason", kMaxReasonBytes));
   const auto resolution = ValueOf(kLedgerResolutionNames, as);
   if (!resolution)
-    return Malformed("as is neither done nor released");
-  return Shown(api.ResolveLedger({query, *resolution, name, reason}));
+    return Malformed("as must be done or released");
+  return ReadOutcome(api.ResolveLedger({query, *resolution, name, reason}));
 }
 
-// "unresolved" stands before "*": a key of that name can't be shown.
+// The first match wins. "unresolved" precedes the wildcard, so a ledger key of
+// that name cannot be shown.
 constexpr std::array<route, 12> kRoutes{{
     {"POST", {"v1", "config", "check"}, Check},
     {"POST", {"v1", "config", "apply"}, Apply},
@@ -174,13 +184,14 @@
     {"POST", {"v1", "ledger", "*", "resolve"}, ResolveLedger},
 }};
 
+// Returns whether the method and all segments of the path match.
 bool Matches(const route& one, const operator_call& call) {
   const auto end = std::find(one.path.begin(), one.path.end(), "");
   return one.method == call.method &&
          std::equal(one.path.begin(), end, call.segments.begin(),
                     call.segments.end(),
                     [](std::string_view pattern, const std::string& segment) {
-                      return pattern == kAny || pattern == segment;
+                      return pattern == kWildcard || pattern == segment;
                     });
 }
 
@@ -192,7 +203,8 @@
       std::find_if(kRoutes.begin(), kRoutes.end(),
                    [&call](const route& one) { return Matches(one, call); });
   if (found == kRoutes.end())
-    return MakeError(result_code::kUnknownPath, "no such operator call");
+    return MakeError(result_code::kUnknownPath,
+                     "no operator call has this method and path");
   return found->run(api, call);
 }
 
--- a/src/entry/operator/operator_routes.h
+++ b/src/entry/operator/operator_routes.h
@@ -9,14 +9,17 @@
 
 namespace samphire {
 
-// What a call came to: the fields of its answer and, for a change that waits
-// for a witness, kWitnessNeeded.
+// The outcome of a call that was not refused: the fields of its response, and
+// the code, which is kOk, or kWitnessNeeded for a change that awaits the
+// approval of a second operator.
 struct operator_outcome {
   result_code code = result_code::kOk;
   Poco::JSON::Object fields;
 };
 
-// Finds the operation that `call` names and does it.
+// Finds the operation for the method and path of `call` and runs it on `api`.
+// Fails with kUnknownPath if there is none, with kMalformedRequest for bad
+// parameters, or with the error of the operation.
 result<operator_outcome> DispatchOperatorCall(operator_api& api,
                                               const operator_call& call);
 
--- a/src/entry/operator/secret_equals.cc
+++ b/src/entry/operator/secret_equals.cc
@@ -2,9 +2,9 @@
 
 namespace samphire {
 
-// A comparison that stops at the first difference lets somebody who can time
-// many guesses find a token byte by byte. An empty expected secret means that
-// none was configured, and then nothing is right.
+// A comparison that stops at the first difference would let an attacker who can
+// time many guesses recover the token byte by byte. An empty expected secret
+// means that none is configured, so nothing matches.
 bool SecretEquals(std::string_view expected, std::string_view given) {
   if (expected.empty())
     return false;
--- a/src/entry/operator/secret_equals.h
+++ b/src/entry/operator/secret_equals.h
@@ -5,8 +5,8 @@
 
 namespace samphire {
 
-// Whether two secrets are equal, in a time that tells nothing of either but
-// the length of `given`.
+// Returns whether two secrets are equal, in a time that depends only on the
+// length of `given`. Always false if `expected` is empty.
 bool SecretEquals(std::string_view expected, std::string_view given);
 
 }  // namespace samphire
--- a/src/entry/operator/witness_request.h
+++ b/src/entry/operator/witness_request.h
@@ -5,9 +5,11 @@
 
 namespace samphire {
 
-// A second operator's consent to a proposal.
+// A second operator's approval of a proposal.
 struct witness_request {
+  // The id of the proposal.
   std::string proposal;
+  // The approving operator, who must not be the proposer.
   std::string operator_name;
 };
 
--- a/src/entry/operator_service.cc
+++ b/src/entry/operator_service.cc
@@ -12,6 +12,7 @@
 
 namespace {
 
+// The state shown for a ledger shard that cannot be read.
 constexpr const char* kUnreadableShard = "unreadable-shard";
 
 history_entry EntryOf(const config_change& change) {
@@ -31,7 +32,7 @@
           .state = history_state::kProposed};
 }
 
-ledger_answer AnswerOf(const ledger_entry& entry) {
+reservation_status ReservationStatusOf(const ledger_entry& entry) {
   return {.service = entry.service,
           .key = entry.key,
           .state = std::string(NameOf(kReservationStateNames, entry.state)),
@@ -53,8 +54,8 @@
 operator_service::operator_service(entry_node& node)
     : node_(node), publisher_(node.store(), node.clock(), node.counters()) {}
 
-// Drains that are in force already may have passed since; a file that repeats
-// them is not wrong for that.
+// Validates against the declaration in force: the times of a drain in force may
+// have passed since it was declared, and a file that repeats it is still valid.
 result<declaration> operator_service::Read(const std::string& text) {
   const auto image = node_.configuration().image();
   if (!image)
@@ -69,18 +70,20 @@
   return Success();
 }
 
-result<apply_answer> operator_service::Apply(const apply_call& request) {
+result<apply_response> operator_service::Apply(
+    const declaration_apply_request& request) {
   BOOST_OUTCOME_TRY(declared, Read(request.text));
-  // What this entry holds anyway need not be loaded to find what changes.
+  // Offers the configuration that this entry has in memory, so that the
+  // publisher need not load it to compute the difference.
   if (auto image = node_.configuration().image())
     publisher_.CacheImage(std::move(image));
-  return AnswerOf(
+  return FinishChange(
       publisher_.Apply(
           declared, {request.apply_id, request.operator_name, request.expect}),
       request.apply_id, request.operator_name);
 }
 
-result<apply_answer> operator_service::AnswerOf(
+result<apply_response> operator_service::FinishChange(
     const result<apply_receipt>& receipt,
     const std::string& apply_id,
     const std::string& operator_name) {
@@ -89,10 +92,10 @@
         {{"version", receipt.value().version},
          {"apply_id", apply_id},
          {"operator", operator_name}});
-    return apply_answer{.version = receipt.value().version};
+    return apply_response{.version = receipt.value().version};
   }
   if (receipt.error().code == result_code::kWitnessNeeded)
-    return apply_answer{.proposal = apply_id};
+    return apply_response{.proposal = apply_id};
   Log(log_level::kWarning, "apply-refused",
       {{"apply_id", apply_id},
        {"operator", operator_name},
@@ -101,19 +104,19 @@
   return receipt.error();
 }
 
-result<config_answer> operator_service::Config() {
+result<config_response> operator_service::Config() {
   const auto image = node_.configuration().image();
   if (!image)
     return MakeError(result_code::kNoConfiguration);
   const auto& change = image->root().change;
-  return config_answer{.version = image->version(),
-                       .apply_id = change.apply_id,
-                       .operator_name = change.operator_name,
-                       .text = WriteDeclaration(image->Assemble())};
+  return config_response{.version = image->version(),
+                         .apply_id = change.apply_id,
+                         .operator_name = change.operator_name,
+                         .text = WriteDeclaration(image->Assemble())};
 }
 
-// Read from the platform: an operator who asks what became of an apply must
-// not be told of a time before it.
+// Reads from the platform instead of local state: an operator who looks up the
+// outcome of an apply must not see a state from before it.
 result<std::vector<history_entry>> operator_service::History() {
   std::vector<history_entry> history;
   BOOST_OUTCOME_TRY(proposals, publisher_.Proposals());
@@ -132,13 +135,15 @@
   return history;
 }
 
-result<apply_answer> operator_service::Witness(const witness_request& request) {
-  return AnswerOf(publisher_.Witness(request.proposal, request.operator_name),
-                  request.proposal, request.operator_name);
+result<apply_response> operator_service::Witness(
+    const witness_request& request) {
+  return FinishChange(
+      publisher_.Witness(request.proposal, request.operator_name),
+      request.proposal, request.operator_name);
 }
 
-result<status_answer> operator_service::Status() {
-  status_answer answer;
+result<status_response> operator_service::Status() {
+  status_response answer;
   answer.instance = node_.settings().instance;
   answer.region = node_.settings().region;
   answer.config_version = node_.configuration().AdvertisedConfig().version;
@@ -157,44 +162,45 @@
   return image->frame().drains;
 }
 
-result<apply_answer> operator_service::AddDrain(
+result<apply_response> operator_service::AddDrain(
     const drain_add_request& request) {
-  return AnswerOf(
+  return FinishChange(
       publisher_.AddDrain(request.drain,
                           {request.apply_id, request.operator_name, {}}),
       request.apply_id, request.operator_name);
 }
 
-result<apply_answer> operator_service::RemoveDrain(
+result<apply_response> operator_service::RemoveDrain(
     const drain_remove_request& request) {
-  return AnswerOf(
+  return FinishChange(
       publisher_.RemoveDrain(request.drain_name,
                              {request.apply_id, request.operator_name, {}}),
       request.apply_id, request.operator_name);
 }
 
-result<std::vector<ledger_answer>> operator_service::Unresolved() {
+result<std::vector<reservation_status>> operator_service::Unresolved() {
   BOOST_OUTCOME_TRY(report, node_.reservations().Unresolved());
-  std::vector<ledger_answer> answers;
-  // A shard that can't be read must not hide what the others hold, nor be
-  // passed over in silence.
+  std::vector<reservation_status> answers;
+  // A shard that cannot be read must neither hide the records of the other
+  // shards nor be omitted silently, so it is listed with a state of its own.
   for (const auto& shard : report.corrupt_shards)
     answers.push_back({.key = shard, .state = kUnreadableShard});
   for (const auto& each : report.entries)
-    answers.push_back(samphire::AnswerOf(each));
+    answers.push_back(samphire::ReservationStatusOf(each));
   return answers;
 }
 
-result<ledger_answer> operator_service::ShowLedger(const ledger_query& query) {
+result<reservation_status> operator_service::ShowLedger(
+    const ledger_query& query) {
   BOOST_OUTCOME_TRY(record,
                     node_.reservations().Show(query.service, query.key));
-  auto answer = samphire::AnswerOf(record.entry);
+  auto answer = samphire::ReservationStatusOf(record.entry);
   if (record.in_doubt)
     answer.state = NameOf(kReservationStateNames, reservation_state::kUnknown);
   return answer;
 }
 
-result<ledger_answer> operator_service::ResolveLedger(
+result<reservation_status> operator_service::ResolveLedger(
     const ledger_resolve_request& request) {
   const auto as = request.as == ledger_resolution::kDone
                       ? resolution::kDone
--- a/src/entry/operator_service.h
+++ b/src/entry/operator_service.h
@@ -11,35 +11,40 @@
 
 namespace samphire {
 
-// What one entry does for operators: changes go to the platform, the rest is
-// this entry's own view.
+// Implements the operator operations of one entry: changes are written to the
+// platform, and everything else but the history and the ledger is this entry's
+// own view. Thread-safe; `node` must outlive it.
 class operator_service final : public operator_api {
  public:
   explicit operator_service(entry_node& node);
 
   result<void> Check(const std::string& text) override;
-  result<apply_answer> Apply(const apply_call& request) override;
-  result<config_answer> Config() override;
+  result<apply_response> Apply(
+      const declaration_apply_request& request) override;
+  result<config_response> Config() override;
   result<std::vector<history_entry>> History() override;
-  result<apply_answer> Witness(const witness_request& request) override;
-  result<status_answer> Status() override;
+  result<apply_response> Witness(const witness_request& request) override;
+  result<status_response> Status() override;
 
   result<std::vector<drain>> Drains() override;
-  result<apply_answer> AddDrain(const drain_add_request& request) override;
-  result<apply_answer> RemoveDrain(
+  result<apply_response> AddDrain(const drain_add_request& request) override;
+  result<apply_response> RemoveDrain(
       const drain_remove_request& request) override;
 
-  result<std::vector<ledger_answer>> Unresolved() override;
-  result<ledger_answer> ShowLedger(const ledger_query& query) override;
-  result<ledger_answer> ResolveLedger(
+  result<std::vector<reservation_status>> Unresolved() override;
+  result<reservation_status> ShowLedger(const ledger_query& query) override;
+  result<reservation_status> ResolveLedger(
       const ledger_resolve_request& request) override;
 
  private:
+  // Parses and validates the JSON of a declaration.
   result<declaration> Read(const std::string& text);
-  // Takes a fresh change into force here without waiting for the watch.
-  result<apply_answer> AnswerOf(const result<apply_receipt>& receipt,
-                                const std::string& apply_id,
-                                const std::string& operator_name);
+  // Logs the outcome of a change and converts it to a response. kWitnessNeeded
+  // becomes a response with the proposal id; any other error is returned as it
+  // is.
+  result<apply_response> FinishChange(const result<apply_receipt>& receipt,
+                                      const std::string& apply_id,
+                                      const std::string& operator_name);
 
   entry_node& node_;
   config_publisher publisher_;
--- a/tests/ctl/ctl_runner.cc
+++ b/tests/ctl/ctl_runner.cc
@@ -17,7 +17,7 @@
   file << kTestToken << "\n";
 }
 
-// The defaults come first, so that a test's own flags override them.
+// The defaults come first, so that the flags of a test override them.
 ctl_run ctl_runner::Run(const std::vector<std::string>& arguments) const {
   std::vector<std::string> whole{
       "--operator_url=" + urls_, "--token_file=" + token_file_.path(),
--- a/tests/ctl/ctl_runner.h
+++ b/tests/ctl/ctl_runner.h
@@ -8,18 +8,21 @@
 
 namespace samphire {
 
-// What one run of samphirectl gave.
+// The exit code and the output of one run of samphirectl.
 struct ctl_run {
   int code = -1;
+  // Standard output and standard error.
   std::string output;
   std::string errors;
 };
 
-// Runs the real program with a token file, an operator's name and `urls`.
+// Runs the samphirectl binary as a process with a token file, an operator name,
+// short time limits and the entries at `urls`.
 class ctl_runner {
  public:
   explicit ctl_runner(const std::string& urls);
 
+  // Appends `arguments` to these defaults and waits for the process to end.
   ctl_run Run(const std::vector<std::string>& arguments) const;
 
  private:
@@ -27,7 +30,7 @@
   Poco::TemporaryFile token_file_;
 };
 
-// Runs the real program with nothing but `arguments`.
+// Runs the samphirectl binary with `arguments` only.
 ctl_run RunCtl(const std::vector<std::string>& arguments);
 
 }  // namespace samphire
--- a/tests/ctl/ctl_test_support.h
+++ b/tests/ctl/ctl_test_support.h
@@ -12,31 +12,34 @@
 
 namespace samphire {
 
+// A valid declaration.
 inline constexpr const char* kExample =
     SAMPHIRE_SOURCE_DIR "/examples/consortium.json";
 
-inline bool Has(const std::string& text, const std::string& part) {
+inline bool Contains(const std::string& text, const std::string& part) {
   INFO(text);
   return text.find(part) != std::string::npos;
 }
 
-inline int CodeIn(const ctl_run& run) {
+// Returns the result code in the JSON output of a run.
+inline int ResultCodeIn(const ctl_run& run) {
   Poco::JSON::Parser parser;
   return parser.parse(run.output)
       .extract<Poco::JSON::Object::Ptr>()
       ->getValue<int>("code");
 }
 
-// The id that a proposed change tells to witness.
-inline std::string ProposalIn(const ctl_run& run) {
+// Returns the proposal id from the advice that a proposed change prints.
+inline std::string ProposalIdIn(const ctl_run& run) {
   const std::string command = "samphirectl witness ";
-  CHECK(Has(run.errors, "5003 witness-needed: proposal "));
+  CHECK(Contains(run.errors, "5003 witness-needed: proposal "));
   const auto start = run.errors.find(command) + command.size();
   return run.errors.substr(start, run.errors.find('\n', start) - start);
 }
 
-inline std::size_t CountOf(const fake_operator_api& api,
-                           const std::string& start) {
+// Returns how many recorded calls begin with `start`.
+inline std::size_t CountCalls(const fake_operator_api& api,
+                              const std::string& start) {
   const auto calls = api.calls();
   return static_cast<std::size_t>(
       std::count_if(calls.begin(), calls.end(),
--- a/tests/ctl/caller_port.h
+++ b/tests/ctl/fake_caller_server.h
@@ -1,5 +1,5 @@
-#ifndef CTL_CALLER_PORT_H_
-#define CTL_CALLER_PORT_H_
+#ifndef CTL_FAKE_CALLER_SERVER_H_
+#define CTL_FAKE_CALLER_SERVER_H_
 
 #include <Poco/Net/HTTPServer.h>
 
@@ -10,13 +10,15 @@
 
 namespace samphire {
 
-// Answers look-ups with one entry and keeps what was asked.
-class caller_port {
+// A fake caller port on a free port of 127.0.0.1. Responds to each lookup with
+// one entry and records the last request.
+class fake_caller_server {
  public:
-  caller_port()
+  fake_caller_server()
       : server_(
             new function_factory([this](auto& request, auto& response) {
-              asked_ = request.getURI() + request.get("Authorization", "");
+              last_request_ =
+                  request.getURI() + request.get("Authorization", "");
               const auto text = WriteLookupResponse(
                   {"colombo",
                    {{"entry-1", "127.0.1.1:8000", "colombo"}},
@@ -29,18 +31,19 @@
             new Poco::Net::HTTPServerParams) {
     server_.start();
   }
-  ~caller_port() { server_.stopAll(true); }
+  ~fake_caller_server() { server_.stopAll(true); }
 
   std::string url() const {
     return "http://127.0.0.1:" + std::to_string(server_.port());
   }
-  std::string asked() const { return asked_; }
+  // The request target followed by the Authorization header.
+  std::string last_request() const { return last_request_; }
 
  private:
-  std::string asked_;
+  std::string last_request_;
   Poco::Net::HTTPServer server_;
 };
 
 }  // namespace samphire
 
-#endif  // CTL_CALLER_PORT_H_
+#endif  // CTL_FAKE_CALLER_SERVER_H_
--- a/tests/ctl/fake_operator_api.cc
+++ b/tests/ctl/fake_operator_api.cc
@@ -8,35 +8,36 @@
 namespace samphire {
 
 result<void> fake_operator_api::Check(const std::string& text) {
-  Note("check " + text);
+  RecordCall("check " + text);
   if (const auto read = ReadAcceptedDeclaration(text); !read)
     return read.error();
   return Success();
 }
 
-result<apply_answer> fake_operator_api::Apply(const apply_call& request) {
-  Note("apply " + request.operator_name + " " +
-       (request.expect ? std::to_string(*request.expect) : "any") + " " +
-       request.text);
+result<apply_response> fake_operator_api::Apply(
+    const declaration_apply_request& request) {
+  RecordCall("apply " + request.operator_name + " " +
+             (request.expect ? std::to_string(*request.expect) : "any") + " " +
+             request.text);
   if (request.expect && *request.expect != version())
     return MakeError(result_code::kVersionConflict, "another version");
   return Change(request.apply_id, request.operator_name);
 }
 
-result<config_answer> fake_operator_api::Config() {
-  Note("config");
-  return config_answer{version(), "id-40", "rui", "{\"name\":\"in-force\"}"};
+result<config_response> fake_operator_api::Config() {
+  RecordCall("config");
+  return config_response{version(), "id-40", "rui", "{\"name\":\"in-force\"}"};
 }
 
 result<std::vector<history_entry>> fake_operator_api::History() {
-  Note("history");
+  RecordCall("history");
   std::lock_guard guard(lock_);
   return std::vector<history_entry>(history_.rbegin(), history_.rend());
 }
 
-result<apply_answer> fake_operator_api::Witness(
+result<apply_response> fake_operator_api::Witness(
     const witness_request& request) {
-  Note("witness " + request.proposal + " " + request.operator_name);
+  RecordCall("witness " + request.proposal + " " + request.operator_name);
   std::lock_guard guard(lock_);
   const auto found = std::find_if(
       history_.begin(), history_.end(),
@@ -45,20 +46,20 @@
     return MakeError(result_code::kUnknownProposal, request.proposal);
   if (found->operator_name == request.operator_name)
     return MakeError(result_code::kWitnessIsProposer);
-  if (std::exchange(lose_next_, false))
-    return apply_answer{version_ + 1, ""};
+  if (std::exchange(drop_next_change_, false))
+    return apply_response{version_ + 1, ""};
   found->witness = request.operator_name;
   found->state = history_state::kAccepted;
   found->version = ++version_;
-  return apply_answer{version_, ""};
+  return apply_response{version_, ""};
 }
 
-result<status_answer> fake_operator_api::Status() {
-  Note("status");
+result<status_response> fake_operator_api::Status() {
+  RecordCall("status");
   std::lock_guard guard(lock_);
-  const auto seen = lag_ > 0 ? version_ - 1 : version_;
-  lag_ = std::max(0, lag_ - 1);
-  status_answer status;
+  const auto seen = delayed_status_calls_ > 0 ? version_ - 1 : version_;
+  delayed_status_calls_ = std::max(0, delayed_status_calls_ - 1);
+  status_response status;
   status.instance = "entry-1";
   status.region = "colombo";
   status.config_version = version_;
@@ -71,14 +72,14 @@
 }
 
 result<std::vector<drain>> fake_operator_api::Drains() {
-  Note("drains");
+  RecordCall("drains");
   std::lock_guard guard(lock_);
   return drains_;
 }
 
-result<apply_answer> fake_operator_api::AddDrain(
+result<apply_response> fake_operator_api::AddDrain(
     const drain_add_request& request) {
-  Note("drain add " + request.drain.name);
+  RecordCall("drain add " + request.drain.name);
   {
     std::lock_guard guard(lock_);
     drains_.push_back(request.drain);
@@ -86,9 +87,9 @@
   return Change(request.apply_id, request.operator_name);
 }
 
-result<apply_answer> fake_operator_api::RemoveDrain(
+result<apply_response> fake_operator_api::RemoveDrain(
     const drain_remove_request& request) {
-  Note("drain remove " + request.drain_name);
+  RecordCall("drain remove " + request.drain_name);
   {
     std::lock_guard guard(lock_);
     if (std::erase_if(drains_, [&](const auto& one) {
@@ -99,25 +100,26 @@
   return Change(request.apply_id, request.operator_name);
 }
 
-result<std::vector<ledger_answer>> fake_operator_api::Unresolved() {
-  Note("unresolved");
+result<std::vector<reservation_status>> fake_operator_api::Unresolved() {
+  RecordCall("unresolved");
   std::lock_guard guard(lock_);
   if (record_.state != "unknown")
-    return std::vector<ledger_answer>();
-  return std::vector<ledger_answer>{record_};
+    return std::vector<reservation_status>();
+  return std::vector<reservation_status>{record_};
 }
 
-result<ledger_answer> fake_operator_api::ShowLedger(const ledger_query& query) {
-  Note("ledger " + query.service + " " + query.key);
+result<reservation_status> fake_operator_api::ShowLedger(
+    const ledger_query& query) {
+  RecordCall("ledger " + query.service + " " + query.key);
   std::lock_guard guard(lock_);
   if (query.service != record_.service || query.key != record_.key)
     return MakeError(result_code::kUnknownLedgerKey, query.key);
   return record_;
 }
 
-result<ledger_answer> fake_operator_api::ResolveLedger(
+result<reservation_status> fake_operator_api::ResolveLedger(
     const ledger_resolve_request& request) {
-  Note("resolve " + request.which.key + " " + request.reason);
+  RecordCall("resolve " + request.which.key + " " + request.reason);
   std::lock_guard guard(lock_);
   if (record_.state != "unknown")
     return MakeError(result_code::kLedgerKeySettled, record_.state);
@@ -132,28 +134,28 @@
   refusal_ = std::move(reason);
 }
 
-void fake_operator_api::FailNextAfterEffect(error reason) {
+void fake_operator_api::FailNextAfterApply(error reason) {
   std::lock_guard guard(lock_);
-  late_failure_ = std::move(reason);
+  failure_after_apply_ = std::move(reason);
 }
 
-void fake_operator_api::NeedWitness() {
+void fake_operator_api::RequireWitness() {
   std::lock_guard guard(lock_);
-  need_witness_ = true;
+  require_witness_ = true;
 }
 
-void fake_operator_api::LoseNext() {
+void fake_operator_api::DropNextChange() {
   std::lock_guard guard(lock_);
-  lose_next_ = true;
+  drop_next_change_ = true;
 }
 
-void fake_operator_api::AcceptOther() {
+void fake_operator_api::AcceptConcurrentChange() {
   Change("id-other", "somebody").value();
 }
 
-void fake_operator_api::LagMembers(int status_calls) {
+void fake_operator_api::DelayMembers(int status_calls) {
   std::lock_guard guard(lock_);
-  lag_ = status_calls;
+  delayed_status_calls_ = status_calls;
 }
 
 std::vector<std::string> fake_operator_api::calls() const {
@@ -166,30 +168,30 @@
   return version_;
 }
 
-result<apply_answer> fake_operator_api::Change(const std::string& id,
-                                               const std::string& name) {
+result<apply_response> fake_operator_api::Change(const std::string& id,
+                                                 const std::string& name) {
   std::lock_guard guard(lock_);
   if (refusal_)
     return *std::exchange(refusal_, std::nullopt);
-  if (std::exchange(lose_next_, false))
-    return apply_answer{version_ + 1, ""};
+  if (std::exchange(drop_next_change_, false))
+    return apply_response{version_ + 1, ""};
   history_entry entry;
   entry.apply_id = id;
   entry.operator_name = name;
-  if (need_witness_) {
+  if (require_witness_) {
     entry.proposal = id;
     entry.state = history_state::kProposed;
     history_.push_back(entry);
-    return apply_answer{0, id};
+    return apply_response{0, id};
   }
   entry.version = ++version_;
   history_.push_back(entry);
-  if (late_failure_)
-    return *std::exchange(late_failure_, std::nullopt);
-  return apply_answer{version_, ""};
+  if (failure_after_apply_)
+    return *std::exchange(failure_after_apply_, std::nullopt);
+  return apply_response{version_, ""};
 }
 
-void fake_operator_api::Note(const std::string& call) {
+void fake_operator_api::RecordCall(const std::string& call) {
   std::lock_guard guard(lock_);
   calls_.push_back(call);
 }
--- a/tests/ctl/fake_operator_api.h
+++ b/tests/ctl/fake_operator_api.h
@@ -11,57 +11,61 @@
 
 namespace samphire {
 
-// The operator's side of an entry in memory: keeps a history, drains and one
-// reservation in doubt, and writes down each call.
+// In-memory fake of the operator operations of an entry: keeps a history,
+// drains and one reservation of unknown outcome, and records each call.
+// Thread-safe. Its configuration version starts at 40.
 class fake_operator_api final : public operator_api {
  public:
   result<void> Check(const std::string& text) override;
-  result<apply_answer> Apply(const apply_call& request) override;
-  result<config_answer> Config() override;
+  result<apply_response> Apply(
+      const declaration_apply_request& request) override;
+  result<config_response> Config() override;
   result<std::vector<history_entry>> History() override;
-  result<apply_answer> Witness(const witness_request& request) override;
-  result<status_answer> Status() override;
+  result<apply_response> Witness(const witness_request& request) override;
+  result<status_response> Status() override;
   result<std::vector<drain>> Drains() override;
-  result<apply_answer> AddDrain(const drain_add_request& request) override;
-  result<apply_answer> RemoveDrain(
+  result<apply_response> AddDrain(const drain_add_request& request) override;
+  result<apply_response> RemoveDrain(
       const drain_remove_request& request) override;
-  result<std::vector<ledger_answer>> Unresolved() override;
-  result<ledger_answer> ShowLedger(const ledger_query& query) override;
-  result<ledger_answer> ResolveLedger(
+  result<std::vector<reservation_status>> Unresolved() override;
+  result<reservation_status> ShowLedger(const ledger_query& query) override;
+  result<reservation_status> ResolveLedger(
       const ledger_resolve_request& request) override;
 
-  // The next change is refused so and has no effect.
+  // Refuses the next change with `reason`; it has no effect.
   void RefuseNext(error reason);
-  // The next change takes effect and answers this nevertheless.
-  void FailNextAfterEffect(error reason);
-  // Changes are proposed only until witnessed.
-  void NeedWitness();
-  // The next change has no effect and no refusal either.
-  void LoseNext();
-  // A change by somebody else.
-  void AcceptOther();
-  // Members get a version only after so many more status calls.
-  void LagMembers(int status_calls);
+  // Executes the next change, but fails it with `reason` nevertheless.
+  void FailNextAfterApply(error reason);
+  // From now on, changes are only proposed until they are witnessed.
+  void RequireWitness();
+  // Reports the next change as successful without executing it.
+  void DropNextChange();
+  // Executes a change by another operator.
+  void AcceptConcurrentChange();
+  // Reports a member with an older version for the next `status_calls` status
+  // calls.
+  void DelayMembers(int status_calls);
 
+  // The calls so far, each as its name and main arguments.
   std::vector<std::string> calls() const;
   std::uint64_t version() const;
 
  private:
-  result<apply_answer> Change(const std::string& id, const std::string& name);
-  void Note(const std::string& call);
+  result<apply_response> Change(const std::string& id, const std::string& name);
+  void RecordCall(const std::string& call);
 
   mutable std::mutex lock_;
   std::vector<std::string> calls_;
   std::vector<history_entry> history_;
   std::vector<drain> drains_;
   std::optional<error> refusal_;
-  std::optional<error> late_failure_;
-  ledger_answer record_{
+  std::optional<error> failure_after_apply_;
+  reservation_status record_{
       "claims-desk", "claim/1 7", "unknown", "entry-3", {}, "", ""};
   std::uint64_t version_ = 40;
-  int lag_ = 0;
-  bool need_witness_ = false;
-  bool lose_next_ = false;
+  int delayed_status_calls_ = 0;
+  bool require_witness_ = false;
+  bool drop_next_change_ = false;
 };
 
 }  // namespace samphire
--- a/tests/ctl/function_factory.h
+++ b/tests/ctl/function_factory.h
@@ -11,7 +11,8 @@
 
 namespace samphire {
 
-// Serves every request by one function.
+// Creates handlers that serve every request by one function. The function is
+// called by several threads concurrently.
 class function_factory final : public Poco::Net::HTTPRequestHandlerFactory {
  public:
   using function = std::function<void(Poco::Net::HTTPServerRequest&,
--- a/tests/ctl/operator_call_properties_test.cc
+++ b/tests/ctl/operator_call_properties_test.cc
@@ -8,8 +8,9 @@
 
 using namespace samphire;
 
-// Whoever holds the token may still send anything: a broken script, a wrong
-// port. Each call must end in an answer with a number.
+// A client with a valid token may send anything, for example from a faulty
+// script or to the wrong port. Each call must end in a response with a numbered
+// result code.
 TEST_CASE("any target and body give an outcome or a numbered refusal") {
   CHECK(rc::check([] {
     static const std::string kPieces[] = {
--- a/tests/ctl/operator_handler_test.cc
+++ b/tests/ctl/operator_handler_test.cc
@@ -21,18 +21,19 @@
     R"({"name":"d","scope":"region","subject":"kandy",)"
     R"("starts_at":"2026-12-02T22:00:00Z","deadline":"2026-12-02T23:00:00Z"})";
 
-struct answered {
+struct http_response {
   int status = 0;
   std::string result;
   std::string body;
 };
 
-answered Ask(const operator_server& server,
-             const std::string& method,
-             const std::string& target,
-             const std::string& body = "",
-             const std::string& authorization = std::string("Bearer ") +
-                                                kTestToken) {
+// Sends one call and reads the response.
+http_response SendCall(
+    const operator_server& server,
+    const std::string& method,
+    const std::string& target,
+    const std::string& body = "",
+    const std::string& authorization = std::string("Bearer ") + kTestToken) {
   Poco::Net::HTTPClientSession session(server.address());
   Poco::Net::HTTPRequest request(method, target,
                                  Poco::Net::HTTPMessage::HTTP_1_1);
@@ -41,13 +42,14 @@
   request.setContentLength64(static_cast<Poco::Int64>(body.size()));
   session.sendRequest(request) << body;
   Poco::Net::HTTPResponse response;
-  answered got;
+  http_response got;
   Poco::StreamCopier::copyToString(session.receiveResponse(response), got.body);
   got.status = response.getStatus();
   got.result = response.get("Samphirewinch-Result", "");
   return got;
 }
 
+// Reads until the server closes the connection.
 std::string ReadToEnd(Poco::Net::StreamSocket& socket) {
   std::string text;
   char piece[4096];
@@ -58,6 +60,7 @@
   return text;
 }
 
+// Returns the head of an authorized apply call with a body of `length` bytes.
 std::string ApplyHead(std::size_t length) {
   return "POST /v1/config/apply?apply_id=i&operator=o HTTP/1.1\r\n"
          "Host: x\r\nAuthorization: Bearer " +
@@ -67,7 +70,7 @@
 
 }  // namespace
 
-TEST_CASE("every call of the protocol reaches its operation") {
+TEST_CASE("every call of the protocol is routed to its operation") {
   fake_operator_api api;
   const operator_server server(api);
   struct expected_call {
@@ -95,25 +98,25 @@
   };
   for (const auto& one : cases) {
     INFO(one.target);
-    const auto got = Ask(server, one.method, one.target, one.body);
+    const auto got = SendCall(server, one.method, one.target, one.body);
     CHECK(got.status == 200);
     CHECK(got.result == "0 ok");
     CHECK(api.calls().back() == one.call);
   }
-  CHECK(Ask(server, "POST", "/v1/config/check", "{}").result ==
+  CHECK(SendCall(server, "POST", "/v1/config/check", "{}").result ==
         "1008 schema-violation");
-  CHECK(Ask(server, "POST", "/v1/witness/p?operator=o").result ==
+  CHECK(SendCall(server, "POST", "/v1/witness/p?operator=o").result ==
         "5007 unknown-proposal");
-  api.NeedWitness();
+  api.RequireWitness();
   const auto proposed =
-      Ask(server, "POST", "/v1/config/apply?apply_id=j&operator=o", "{}");
+      SendCall(server, "POST", "/v1/config/apply?apply_id=j&operator=o", "{}");
   CHECK(proposed.status == 202);
   CHECK(proposed.body.find("\"proposal\":\"j\"") != std::string::npos);
 }
 
-// Somebody on the network finds the operator port. Without the token they
-// change nothing and learn nothing, not even which calls there are.
-TEST_CASE("without the token nothing is read and nothing done") {
+// A client on the network reaches the operator port without the token. It must
+// change nothing and learn nothing, not even which calls exist.
+TEST_CASE("without the token nothing is read and nothing executed") {
   fake_operator_api api;
   operator_server server(api);
   const std::string right = std::string("Bearer ") + kTestToken;
@@ -121,8 +124,8 @@
        {std::string(), std::string("Bearer "), right + "x",
         right.substr(0, right.size() - 1), std::string(kTestToken),
         "Basic " + std::string(kTestToken)}) {
-    CHECK(Ask(server, "GET", "/v1/status", "", given).status == 401);
-    CHECK(Ask(server, "GET", "/nowhere", "", given).status == 401);
+    CHECK(SendCall(server, "GET", "/v1/status", "", given).status == 401);
+    CHECK(SendCall(server, "GET", "/nowhere", "", given).status == 401);
   }
   CHECK(api.calls().empty());
   CHECK(server.counters().counter("refusals_total",
@@ -132,7 +135,7 @@
   CHECK_FALSE(SecretEquals("", ""));
 }
 
-TEST_CASE("a malformed call is refused by number and does nothing") {
+TEST_CASE("a malformed call is refused with its code and has no effect") {
   fake_operator_api api;
   const operator_server server(api);
   struct refused_call {
@@ -164,22 +167,23 @@
   };
   for (const auto& one : cases) {
     INFO(one.target);
-    CHECK(Ask(server, one.method, one.target).result == one.result);
+    CHECK(SendCall(server, one.method, one.target).result == one.result);
   }
   CHECK(api.calls().empty());
 }
 
-// An operator's line breaks in the middle of a file, or crawls. Half a file
-// must not come into force, and the thread must be free again for the next
-// operator.
-TEST_CASE("a body that is too long, cut short or too slow is refused") {
+// An operator's connection breaks in the middle of a file, or is very slow. A
+// partial file must not be applied, and the thread must become free for the
+// next operator.
+TEST_CASE("a body that is too long, truncated or too slow is refused") {
   fake_operator_api api;
   operator_limits limits;
   limits.max_body_bytes = 1000;
   limits.body_timeout = 50ms;
-  const operator_server server(api, operator_server::answers::kAll, limits);
-  CHECK(Ask(server, "POST", "/v1/config/apply?apply_id=i&operator=o",
-            std::string(1001, ' '))
+  const operator_server server(api, operator_server::response_mode::kAll,
+                               limits);
+  CHECK(SendCall(server, "POST", "/v1/config/apply?apply_id=i&operator=o",
+                 std::string(1001, ' '))
             .result == "2003 body-too-large");
 
   Poco::Net::StreamSocket cut(server.address());
--- a/tests/ctl/operator_server.cc
+++ b/tests/ctl/operator_server.cc
@@ -17,8 +17,8 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-// Does a change and cuts the connection instead of answering.
-void DoAndCut(operator_api& api, HTTPServerRequest& request) {
+// Executes a change and drops the connection instead of responding.
+void ApplyAndDropConnection(operator_api& api, HTTPServerRequest& request) {
   auto call = ParseOperatorCall(request.getMethod(), request.getURI()).value();
   Poco::StreamCopier::copyToString(request.stream(), call.body);
   const auto ignored = DispatchOperatorCall(api, call);
@@ -26,17 +26,17 @@
 }
 
 HTTPRequestHandlerFactory::Ptr FactoryOf(operator_api& api,
-                                         operator_server::answers kept,
+                                         operator_server::response_mode mode,
                                          const operator_limits& limits,
                                          metrics& counters) {
   HTTPRequestHandlerFactory::Ptr whole =
       new operator_handler_factory(api, kTestToken, limits, counters);
-  if (kept == operator_server::answers::kAll)
+  if (mode == operator_server::response_mode::kAll)
     return whole;
   return new function_factory([&api, whole](HTTPServerRequest& request,
                                             HTTPServerResponse& response) {
     if (request.getMethod() != "GET")
-      return DoAndCut(api, request);
+      return ApplyAndDropConnection(api, request);
     std::unique_ptr<Poco::Net::HTTPRequestHandler>(
         HTTPRequestHandlerFactory::Ptr(whole)->createRequestHandler(request))
         ->handleRequest(request, response);
@@ -46,9 +46,9 @@
 }  // namespace
 
 operator_server::operator_server(fake_operator_api& api,
-                                 answers kept,
+                                 response_mode mode,
                                  const operator_limits& limits)
-    : server_(FactoryOf(api, kept, limits, counters_),
+    : server_(FactoryOf(api, mode, limits, counters_),
               Poco::Net::ServerSocket(Poco::Net::SocketAddress("127.0.0.1", 0)),
               new Poco::Net::HTTPServerParams) {
   server_.start();
@@ -66,7 +66,7 @@
   return {"127.0.0.1", server_.port()};
 }
 
-std::string DeadUrl() {
+std::string UnreachableUrl() {
   Poco::Net::ServerSocket closed(Poco::Net::SocketAddress("127.0.0.1", 0));
   const auto port = closed.address().port();
   closed.close();
--- a/tests/ctl/operator_server.h
+++ b/tests/ctl/operator_server.h
@@ -12,19 +12,22 @@
 
 namespace samphire {
 
+// The operator token of the tests.
 inline constexpr const char* kTestToken = "a-secret-that-nobody-prints";
 
-// An operator port on a free port of 127.0.0.1.
+// An operator port with the real request handlers on a free port of 127.0.0.1,
+// backed by `api`.
 class operator_server {
  public:
-  enum class answers {
+  // Which calls get a response.
+  enum class response_mode {
     kAll,
-    // Changes reach the entry, but their connection is cut without an answer.
-    kCutChanges,
+    // Changes are executed, but their connection is dropped without a response.
+    kDropChangeResponses,
   };
 
   explicit operator_server(fake_operator_api& api,
-                           answers kept = answers::kAll,
+                           response_mode mode = response_mode::kAll,
                            const operator_limits& limits = {});
   ~operator_server();
 
@@ -37,8 +40,8 @@
   Poco::Net::HTTPServer server_;
 };
 
-// A URL at which nobody listens.
-std::string DeadUrl();
+// Returns a URL at which no server listens.
+std::string UnreachableUrl();
 
 }  // namespace samphire
 
