--- a/src/libsamphire/gateway/caller_handler_factory.cc
+++ b/src/libsamphire/gateway/caller_handler_factory.cc
@@ -12,6 +12,7 @@
 
 namespace {
 
+// HTTP status of a readiness check that fails.
 constexpr int kNotReady = 503;
 
 }  // namespace
--- a/src/libsamphire/gateway/caller_handler_factory.h
+++ b/src/libsamphire/gateway/caller_handler_factory.h
@@ -10,20 +10,29 @@
 
 namespace samphire {
 
-// The handlers of the callers' port.
+// Creates the request handlers of the callers' port. createRequestHandler is
+// called by each connection's own thread, and so are the text sources, which
+// must be thread-safe.
 class caller_handler_factory final
     : public Poco::Net::HTTPRequestHandlerFactory {
  public:
+  // Returns the current text of a page.
   using text_source = std::function<std::string()>;
 
+  // `status` is the source of the JSON at /v1/status, `counters` that of the
+  // metrics at /metrics.
   caller_handler_factory(service_context& context,
                          text_source status,
                          text_source counters);
 
+  // Returns a new handler, which the server deletes; never null, as an unknown
+  // path gets a handler that refuses it.
   Poco::Net::HTTPRequestHandler* createRequestHandler(
       const Poco::Net::HTTPServerRequest& request) override;
 
  private:
+  // Returns the handler of /readyz: 503 while the entry is leaving or has no
+  // configuration.
   Poco::Net::HTTPRequestHandler* MakeReadiness();
 
   service_context& context_;
--- a/src/libsamphire/gateway/caller_request.h
+++ b/src/libsamphire/gateway/caller_request.h
@@ -13,26 +13,35 @@
 
 namespace samphire {
 
-// One request of a caller, understood and checked.
+// One request of a caller, parsed and validated. Belongs to the thread that
+// serves it.
 struct caller_request {
-  // Keeps `service` and `request_class` alive.
+  // The configuration under which the request is served; keeps `service` and
+  // `request_class` alive.
   deployment_ptr deployment;
   const samphire::service* service = nullptr;
   const samphire::request_class* request_class = nullptr;
 
+  // The caller's own request id if it is usable, otherwise one made by this
+  // entry.
   std::string id;
   std::string method;
-  // Below the service, with its query.
+  // Path below the service, with the query.
   std::string path;
   Poco::Net::NameValueCollection headers;
   std::string body;
+  // Never empty for a request that may not be repeated.
   std::string idempotency_key;
+  // Region that the caller's address belongs to.
   std::string home_region;
   time_point arrived;
+  // Latest time at which the response is of use to the caller.
   time_point deadline;
+  // Identifies equal requests to the quarantine; set together with the body.
   request_fingerprint fingerprint = 0;
-  // Another entry passed it here, so it is not passed on again.
-  bool passed = false;
+  // Whether another entry forwarded the request here, so that it is not
+  // forwarded again.
+  bool forwarded = false;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/caller_answer.cc
+++ b/src/libsamphire/gateway/caller_response.cc
@@ -1,4 +1,4 @@
-#include "gateway/caller_answer.h"
+#include "gateway/caller_response.h"
 
 #include <Poco/Exception.h>
 #include <Poco/Net/HTTPServerRequestImpl.h>
@@ -10,6 +10,8 @@
 
 namespace {
 
+// Applies the framing of a target's body to the response. A body that ends with
+// its connection is sent in chunks, since the caller's connection stays open.
 struct framing_setter {
   Poco::Net::HTTPResponse& response;
 
@@ -27,18 +29,18 @@
 
 }  // namespace
 
-caller_answer::caller_answer(Poco::Net::HTTPServerRequest& request,
-                             Poco::Net::HTTPServerResponse& response,
-                             note_headers notes)
+caller_response::caller_response(Poco::Net::HTTPServerRequest& request,
+                                 Poco::Net::HTTPServerResponse& response,
+                                 note_headers notes)
     : response_(response),
       socket_(static_cast<Poco::Net::HTTPServerRequestImpl&>(request).socket()),
       notes_(notes) {}
 
-// Date, Age and the body are the target's, unchanged: a reading must show its
-// own age. The entry's own headers are added beside them.
-void caller_answer::Begin(const Poco::Net::HTTPResponse& head,
-                          const body_framing& framing,
-                          const response_status& note) {
+// Date, Age and the body of the target are passed on unchanged, because a
+// reading must show its own age. The entry's own headers are added.
+void caller_response::Begin(const Poco::Net::HTTPResponse& head,
+                            const body_framing& framing,
+                            const response_status& note) {
   const bool keep_alive = response_.getKeepAlive();
   response_.setStatusAndReason(head.getStatus(), head.getReason());
   CopyEndToEndHeaders(head, response_);
@@ -49,30 +51,30 @@
   stream_ = &response_.send();
 }
 
-bool caller_answer::Write(std::string_view bytes) {
+bool caller_response::Write(std::string_view bytes) {
   stream_->write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
   stream_->flush();
   return stream_->good();
 }
 
-void caller_answer::End() {
+void caller_response::End() {
   stream_->flush();
 }
 
-// The target's answer broke off after the head went out. Closing before the
-// announced length, or before the last chunk, is the only sign that HTTP/1.1
-// has for this; the streams' own clean-up would write the last chunk, so the
-// connection is shut first.
-void caller_answer::Abort() {
+// Called when the target's response ended early after the head was sent.
+// HTTP/1.1 can report this only by closing the connection before the announced
+// length or before the last chunk. The clean-up of the streams would write the
+// last chunk, so the connection is shut down first.
+void caller_response::Abort() {
   response_.setKeepAlive(false);
   try {
     socket_.shutdown();
   } catch (const Poco::Exception&) {
-    // The caller closed first.
+    // The caller has already closed the connection.
   }
 }
 
-void caller_answer::Refuse(const response_status& note) {
+void caller_response::Refuse(const response_status& note) {
   refused_ = true;
   WriteRefusal(response_, note);
 }
--- a/src/libsamphire/gateway/caller_answer.h
+++ b/src/libsamphire/gateway/caller_response.h
@@ -1,5 +1,5 @@
-#ifndef GATEWAY_CALLER_ANSWER_H_
-#define GATEWAY_CALLER_ANSWER_H_
+#ifndef GATEWAY_CALLER_RESPONSE_H_
+#define GATEWAY_CALLER_RESPONSE_H_
 
 #include <Poco/Net/HTTPServerRequest.h>
 #include <Poco/Net/HTTPServerResponse.h>
@@ -7,19 +7,20 @@
 
 #include <ostream>
 
-#include "gateway/answer_sink.h"
+#include "gateway/response_sink.h"
 
 namespace samphire {
 
-// On which answers the entry's own headers go out.
+// On which responses the entry's own headers are sent.
 enum class note_headers { kAlways, kOnRefusals };
 
-// The answer on the connection that the request came on.
-class caller_answer final : public answer_sink {
+// The response on the connection on which the request arrived. Must not outlive
+// `request` and `response`; used by the thread of that request.
+class caller_response final : public response_sink {
  public:
-  caller_answer(Poco::Net::HTTPServerRequest& request,
-                Poco::Net::HTTPServerResponse& response,
-                note_headers notes = note_headers::kAlways);
+  caller_response(Poco::Net::HTTPServerRequest& request,
+                  Poco::Net::HTTPServerResponse& response,
+                  note_headers notes = note_headers::kAlways);
 
   void Begin(const Poco::Net::HTTPResponse& head,
              const body_framing& framing,
@@ -30,6 +31,7 @@
   void Refuse(const response_status& note) override;
   bool begun() const override { return stream_ != nullptr || refused_; }
 
+  // The caller's connection, for a caller_watch.
   Poco::Net::StreamSocket socket() const { return socket_; }
 
  private:
@@ -42,4 +44,4 @@
 
 }  // namespace samphire
 
-#endif  // GATEWAY_CALLER_ANSWER_H_
+#endif  // GATEWAY_CALLER_RESPONSE_H_
--- a/src/libsamphire/gateway/deployment.cc
+++ b/src/libsamphire/gateway/deployment.cc
@@ -9,6 +9,7 @@
 
 const std::string kNoRegion;
 
+// Whether the drain covers target `one` of the service, which lies in `region`.
 bool Covers(const drain& each,
             const service& whole,
             const target& one,
@@ -101,8 +102,9 @@
   return drained;
 }
 
-// A drain has no end of its own: after its deadline the place is being worked
-// on, and work sent there would be cut. It ends when it is taken out.
+// A drain doesn't end by itself: after its deadline the location is being
+// worked on, and requests sent there would be cut off. It ends when it is
+// removed from the configuration.
 bool deployment::IsDrained(const service& whole,
                            const target& each,
                            wall_time now) const {
--- a/src/libsamphire/gateway/deployment.h
+++ b/src/libsamphire/gateway/deployment.h
@@ -15,34 +15,41 @@
 
 namespace samphire {
 
-// One version of the configuration as requests read it. Immutable.
+// One version of the configuration in the form that requests read. Immutable,
+// so any thread may read it without a lock; reference-counted.
 class deployment
     : public boost::intrusive_ref_counter<deployment,
                                           boost::thread_safe_counter> {
  public:
-  // `frame` is the declaration without its client blocks.
+  // `frame` is the declaration without its client blocks; `blocks` is the table
+  // built from them.
   deployment(samphire::declaration frame,
              std::uint64_t version,
              home_region_table_ptr blocks);
 
   std::uint64_t version() const { return version_; }
-  // Without client blocks.
+  // The declaration, without client blocks.
   const samphire::declaration& declared() const { return declared_; }
   const lookup_snapshot& lookups() const { return lookups_; }
 
+  // Returns the service with this name, or null.
   const service* FindService(std::string_view name) const;
-  // The region of a failure domain, or nothing.
+  // Returns the region of a failure domain, or an empty name.
   const std::string& RegionOfDomain(const std::string& domain) const;
-  // The part of a service that is in one region; without targets if none is.
+  // Returns the part of a declared service that lies in one region: its
+  // classes, and only the targets of that region; without targets if there are
+  // none.
   const service& PartOf(const service& whole, const std::string& region) const;
-  // Whether the part has a target that no drain in progress closes.
+  // Whether that part has a target that no drain in progress closes at `now`.
   bool HasOpenTarget(const service& whole,
                      const std::string& region,
                      wall_time now) const;
-  // The regions that have targets of a service, by latency from `home`.
+  // Returns the regions that have targets of the service, by latency from
+  // `home`, the nearest first.
   std::vector<std::string> RegionsOf(const service& whole,
                                      std::string_view home) const;
-  // Targets of the service that a drain in progress closes at `now`.
+  // Returns the targets of the service that a drain in progress closes at
+  // `now`.
   std::set<std::string> DrainedTargets(const service& whole,
                                        wall_time now) const;
 
@@ -50,13 +57,14 @@
   using region_parts = std::map<std::string, service>;
 
   region_parts PartsOf(const service& whole) const;
+  // Whether a drain that has started covers the target.
   bool IsDrained(const service& whole, const target& each, wall_time now) const;
 
   samphire::declaration declared_;
   std::uint64_t version_;
   lookup_snapshot lookups_;
   std::map<std::string, std::string> region_of_domain_;
-  // By service: cut apart once, since each request asks.
+  // Parts by service, computed once, since every request needs them.
   std::map<std::string, region_parts> parts_;
 };
 
--- a/src/libsamphire/gateway/deployment_keeper.cc
+++ b/src/libsamphire/gateway/deployment_manager.cc
@@ -1,4 +1,4 @@
-#include "gateway/deployment_keeper.h"
+#include "gateway/deployment_manager.h"
 
 #include "base/log.h"
 
@@ -6,28 +6,29 @@
 
 namespace {
 
+// Role of targets in the platform's instance list.
 const std::string kTargetRole = "target";
 
 }  // namespace
 
-deployment_keeper::deployment_keeper(node_state& state,
-                                     gate_set& gates,
-                                     const clock_source& clock,
-                                     metrics& counters)
+deployment_manager::deployment_manager(node_state& state,
+                                       gate_set& gates,
+                                       const clock_source& clock,
+                                       metrics& counters)
     : state_(state), gates_(gates), clock_(clock), metrics_(counters) {}
 
-// The gates change before the deployment is shown: a request that reads the
-// new version must find its gate, while one that still reads the old version
-// finds the gates of what was declared before kept.
-void deployment_keeper::OnImage(const image_ptr& image) {
+// The gates change before the deployment is published. A request that reads the
+// new version thus finds its gate, and one that still reads the old version
+// finds the gates of the services declared before, because gates are kept.
+void deployment_manager::OnImage(const image_ptr& image) {
   deployment_ptr next(
-      new deployment(image->frame(), image->version(), BlocksOf(*image)));
+      new deployment(image->frame(), image->version(), BlockTableFor(*image)));
   gates_.Follow(*next);
   {
-    // A gate forgets what was closed of targets that changed.
+    // A gate forgets which targets were closed when their declaration changes.
     std::lock_guard guard(lock_);
     for (const auto& whole : next->declared().services)
-      forgotten_.insert(whole.name);
+      stale_gates_.insert(whole.name);
   }
   CloseTargets(*next);
   state_.deployments.Replace(next);
@@ -36,9 +37,11 @@
       {{"version", image->version()}});
 }
 
-// With 1.9 million blocks a table takes about half a second of processor time
-// to build, and a change comes every four seconds; most changes touch no block.
-home_region_table_ptr deployment_keeper::BlocksOf(const config_image& image) {
+// Reuses the table where possible: with 1.9 million client blocks it takes
+// about half a second of processor time to build, and a change arrives every
+// four seconds; most changes touch no block.
+home_region_table_ptr deployment_manager::BlockTableFor(
+    const config_image& image) {
   if (!blocks_ || blocks_ref_ != image.blocks_ref()) {
     blocks_ = new home_region_table(
         image.frame().regions,
@@ -51,41 +54,41 @@
   return blocks_;
 }
 
-// Only what the list says is leaving or gone closes a target. One that the
-// list merely lacks stays open: the list lags, and a target that really has
-// gone is found out by its refused connections.
-void deployment_keeper::OnInstances(
+// A target is closed only if the list says that it is leaving or gone. One that
+// is merely missing from the list stays open, because the list lags behind; a
+// target that has really gone is detected by refused connections.
+void deployment_manager::OnInstances(
     const std::vector<instance_info>& instances) {
   {
     std::lock_guard guard(lock_);
-    listed_closed_.clear();
+    listed_unavailable_.clear();
     for (const auto& each : instances) {
       if (each.role == kTargetRole && each.state != instance_state::kLive)
-        listed_closed_.insert(each.name);
+        listed_unavailable_.insert(each.name);
     }
   }
   Tick();
 }
 
-void deployment_keeper::Tick() {
+void deployment_manager::Tick() {
   if (const auto present = state_.deployments.Get())
     CloseTargets(*present);
 }
 
-void deployment_keeper::CloseTargets(const deployment& present) {
+void deployment_manager::CloseTargets(const deployment& present) {
   const auto now = clock_.wall_now();
   std::lock_guard guard(lock_);
   for (const auto& whole : present.declared().services) {
     auto closed = present.DrainedTargets(whole, now);
     for (const auto& each : whole.targets) {
-      if (listed_closed_.contains(whole.name + "." + each.name))
+      if (listed_unavailable_.contains(whole.name + "." + each.name))
         closed.insert(each.name);
     }
     const auto gate = gates_.Find(whole.name);
     if (!gate)
       continue;
     auto& before = closed_[whole.name];
-    if (forgotten_.erase(whole.name) > 0 || before != closed) {
+    if (stale_gates_.erase(whole.name) > 0 || before != closed) {
       Log(log_level::kInfo, "targets-closed",
           {{"service", whole.name}, {"count", closed.size()}});
       gate->SetClosedTargets(closed);
@@ -95,12 +98,12 @@
       }
       before = std::move(closed);
     }
-    TimeDrains(whole.name, *gate);
+    RecordFinishedDrains(whole.name, *gate);
   }
 }
 
-void deployment_keeper::TimeDrains(const std::string& service,
-                                   const service_gate& gate) {
+void deployment_manager::RecordFinishedDrains(const std::string& service,
+                                              const service_gate& gate) {
   const auto running = gate.draining();
   std::erase_if(draining_, [&](const auto& item) {
     const auto& [place, since] = item;
--- a/src/libsamphire/gateway/entry_node.cc
+++ b/src/libsamphire/gateway/entry_node.cc
@@ -12,11 +12,18 @@
 
 namespace {
 
-constexpr milliseconds kDrainCheck{20};
-constexpr milliseconds kHandOverTime{5000};
-// How long others may go on naming this entry after it said that it leaves.
-constexpr milliseconds kRumourTime{1500};
-
+// How often a stopping entry checks whether work is still in progress.
+constexpr milliseconds kDrainPollInterval{20};
+// Bounds how long a stopping entry waits for its slot partitions to be
+// released.
+constexpr milliseconds kPartitionReleaseTimeout{5000};
+// How long other entries may still name this entry in look-ups after it
+// announced that it is leaving: the time that gossip takes to reach all of
+// them.
+constexpr milliseconds kLeavingPropagationTime{1500};
+
+// Returns a random number in [0, 1), which spreads the periodic reads of the
+// entries over time.
 double Jitter() {
   std::random_device device;
   return std::uniform_real_distribution<double>(0, 1)(device);
@@ -28,7 +35,7 @@
   return limits;
 }
 
-partition_timing SeatLimits() {
+partition_timing PartitionTiming() {
   partition_timing limits;
   limits.jitter = Jitter();
   return limits;
@@ -80,19 +87,19 @@
           [this](const loan_outbox& messages) { messenger_.Send(messages); }),
       quarantine_(
           clock_,
-          [this](const crash_notice& notice) { messenger_.Tell(notice); }),
-      keeper_(state_, gates_, clock_, metrics_),
-      shares_(settings_.region, gates_, clock_, metrics_),
-      seats_(store_,
-             clock_,
-             metrics_,
-             settings_.region,
-             partition_manager_state(settings_.instance,
-                                     settings_.region,
-                                     incarnation_,
-                                     SeatLimits(),
-                                     clock_.now()),
-             shares_),
+          [this](const crash_notice& notice) { messenger_.Broadcast(notice); }),
+      deployment_manager_(state_, gates_, clock_, metrics_),
+      partition_distributor_(settings_.region, gates_, clock_, metrics_),
+      partitions_(store_,
+                  clock_,
+                  metrics_,
+                  settings_.region,
+                  partition_manager_state(settings_.instance,
+                                          settings_.region,
+                                          incarnation_,
+                                          PartitionTiming(),
+                                          clock_.now()),
+                  partition_distributor_),
       signer_(secrets_.keys, {settings_.instance, incarnation_}, clock_),
       peer_caller_(pool_, signer_, [this] { return fleet_.OwnRegionPeers(); }),
       follower_(store_,
@@ -137,29 +144,32 @@
                   new peer_handler_factory(services_, peer_calls_),
                   FrontLimits(settings_),
                   metrics_) {
-  messenger_.Receive(gates_, quarantine_);
+  messenger_.RegisterHandlers(gates_, quarantine_);
   membership_.on_config_version =
       [this](std::uint64_t version, std::uint64_t /*digest*/,
              const std::string& peer) { OnPeerVersion(version, peer); };
-  // A member that comes or goes is acted on at once: it shares seats and loans,
-  // must hear of crashes, and is named or no longer named by look-ups.
+  // A member that joins or leaves is handled at once: it shares the partitions
+  // and loans, must be notified of crashes, and is named or no longer named by
+  // look-ups.
   membership_.on_member_changed = [this](const member& /*changed*/) {
     members_changed_ = true;
   };
   membership_.on_replaced = [] {
     Log(log_level::kError, "replaced",
-        {{"detail", "a later process runs under this instance's name"}});
+        {{"detail",
+          "a process with a later incarnation runs under this instance name"}});
   };
 }
 
-// Whatever may call into other parts from a thread of its own stops before any
-// part is destroyed: a datagram or a rumour that arrives meanwhile would find
-// its receiver gone, which showed as a crash after a clean drain.
+// Every part that calls into others from its own thread is stopped before any
+// part is destroyed. Otherwise a datagram or a gossip update that arrives
+// meanwhile would be delivered to a destroyed object, which caused crashes
+// after a clean drain.
 entry_node::~entry_node() {
   messenger_.Stop();
   membership_.Stop();
   ticker_ = {};
-  seats_.Stop();
+  partitions_.Stop();
   instances_.Stop();
   follower_.Stop();
 }
@@ -170,7 +180,7 @@
   membership_.Start();
   follower_.Start();
   instances_.Start();
-  seats_.Start();
+  partitions_.Start();
   ledger_retry_ = std::make_unique<ledger_retry_thread>(ledger_);
   ticker_ = std::jthread([this](const std::stop_token& stop) { Run(stop); });
   peer_front_.Start();
@@ -187,11 +197,12 @@
   return options;
 }
 
-// Callers learn of the leaving by their next look-up, so requests go on being
-// served for as long as a look-up's answer may be kept. Those that still come
-// are told to go elsewhere. Seats are handed over last, and not at any price:
-// with the platform down they can't be, and the platform's list will show in
-// time that this instance has gone.
+// Callers learn of the stop from their next look-up, so requests are served for
+// as long as a look-up response may be cached. Callers that still arrive after
+// that are refused and told to use another entry. Partitions are released last,
+// and for a bounded time only: while the platform is unreachable they can't be
+// released, and its instance list will show in time that this instance has
+// gone.
 void entry_node::Drain() {
   Log(log_level::kInfo, "leaving");
   const auto started = clock_.now();
@@ -200,18 +211,18 @@
   SetPhase(front_phase::kNoKeepAlive);
   const auto present = state_.deployments.Get();
   std::this_thread::sleep_for(
-      present ? kRumourTime + present->declared().limits.lookup_ttl
+      present ? kLeavingPropagationTime + present->declared().limits.lookup_ttl
               : milliseconds{0});
   SetPhase(front_phase::kRefusing);
   while (caller_front_.active_requests() + peer_front_.active_requests() > 0)
-    std::this_thread::sleep_for(kDrainCheck);
-  HandOver();
+    std::this_thread::sleep_for(kDrainPollInterval);
+  ReleasePartitions();
   caller_front_.Close();
   peer_front_.Close();
   Log(log_level::kInfo, "drained",
       {{"seconds",
         std::chrono::duration<double>(clock_.now() - started).count()},
-       {"seats_kept", seats_.owned_count()}});
+       {"seats_kept", partitions_.owned_count()}});
 }
 
 void entry_node::SetPhase(front_phase phase) {
@@ -219,13 +230,13 @@
   peer_front_.SetPhase(phase);
 }
 
-void entry_node::HandOver() {
+void entry_node::ReleasePartitions() {
   for (const auto& [name, gate] : gates_.All())
     gate->Leave();
-  seats_.Leave();
-  const auto give_up = clock_.now() + kHandOverTime;
-  while (seats_.owned_count() > 0 && clock_.now() < give_up)
-    std::this_thread::sleep_for(kDrainCheck);
+  partitions_.Leave();
+  const auto deadline = clock_.now() + kPartitionReleaseTimeout;
+  while (partitions_.owned_count() > 0 && clock_.now() < deadline)
+    std::this_thread::sleep_for(kDrainPollInterval);
 }
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/entry_node_status.cc
+++ b/src/libsamphire/gateway/entry_node_status.cc
@@ -1,4 +1,4 @@
-// What an entry shows of itself: counters and status.
+// Status and metrics texts of entry_node.
 
 #include <fmt/format.h>
 
@@ -18,7 +18,7 @@
   metrics_.Set("targets_lost", "",
                static_cast<double>(quarantine_.targets_lost()));
   metrics_.Set("connections", "", caller_front_.connections());
-  // What each region says it has free: the headroom for a shift.
+  // The free slots that each region reports: the headroom for shifts.
   for (const auto& each : membership_.regions()) {
     metrics_.Set("region_free_slots", "region=\"" + each.digest.region + "\"",
                  static_cast<double>(each.digest.free_slots));
@@ -55,7 +55,7 @@
         status.borrowed, status.free, status.in_flight, status.headroom,
         status.ejected.size());
   }
-  const auto told = follower_.AdvertisedConfig();
+  const auto own_config = follower_.AdvertisedConfig();
   return fmt::format(
       R"({{"instance":{},"region":{},"leaving":{},"config_version":{},)"
       R"("config_age_ms":{},"platform_failing":{},)"
@@ -65,12 +65,12 @@
       R"("members":[{}],"services":[{}]}})"
       "\n",
       JsonQuote(settings_.instance), JsonQuote(settings_.region),
-      state_.leaving.load(), told.version,
+      state_.leaving.load(), own_config.version,
       std::chrono::duration_cast<milliseconds>(follower_.confirmed_age())
           .count(),
       follower_.platform_failing(), ledger_.shards(), ledger_.pending(),
-      fmt::join(seats_.Usable(), ","), seats_.owned_count(),
-      fmt::join(seats_.Stranded(), ","), DrainNames(),
+      fmt::join(partitions_.Usable(), ","), partitions_.owned_count(),
+      fmt::join(partitions_.Stranded(), ","), DrainNames(),
       quarantine_.quarantined(), quarantine_.targets_lost(), members, services);
 }
 
--- a/src/libsamphire/gateway/entry_node_ticks.cc
+++ b/src/libsamphire/gateway/entry_node_ticks.cc
@@ -1,4 +1,4 @@
-// What an entry does again and again, and on news.
+// Periodic work of entry_node, and its reactions to updates.
 
 #include <xxhash.h>
 
@@ -13,17 +13,21 @@
 
 namespace {
 
-// Ramps, expiries and loans move in steps of milliseconds; four gates a tick
-// cost some microseconds.
-constexpr milliseconds kFastTick{5};
+// Ramps, expiries and loans progress in steps of milliseconds; a tick of four
+// gates costs some microseconds.
+constexpr milliseconds kFastTickInterval{5};
+// A SlowTick is due every 500 ms, a RequestConfirmation every 4 s.
 constexpr int kFastTicksPerSlow = 100;
 constexpr int kSlowTicksPerConfirmation = 8;
 
-// The watch is held by a few of each region; see distribution.
+// Number of a region's entries that watch the store itself; the others get
+// changes from their peers. See distribution.
 constexpr std::size_t kWatchers = kWatchersPerRegion;
 
-// How long the loans and requests of a seat's owner before may go on.
-duration SeatQuarantine(const declaration& declared) {
+// Returns how long loans and requests of a partition's former owner may still
+// be running: the longest deadline of any class, plus loan time to live and
+// clock drift.
+duration TakeoverDelay(const declaration& declared) {
   milliseconds longest{0};
   for (const auto& service : declared.services) {
     for (const auto& each : service.classes)
@@ -33,7 +37,10 @@
   return limits.loan_ttl + limits.clock_drift + longest;
 }
 
-std::uint32_t SeatCount(const declaration& declared, const std::string& name) {
+// Returns the number of slot partitions of the region, or 0 if it isn't
+// declared.
+std::uint32_t PartitionCount(const declaration& declared,
+                             const std::string& name) {
   for (const auto& region : declared.regions) {
     if (region.name == name)
       return region.seats;
@@ -41,6 +48,7 @@
   return 0;
 }
 
+// Returns the 64 bits of a digest that gossip carries.
 std::uint64_t ShortDigest(const std::string& digest) {
   return XXH3_64bits(digest.data(), digest.size());
 }
@@ -56,10 +64,10 @@
     if (ticks % kFastTicksPerSlow == 0 || members_changed_.exchange(false))
       SlowTick();
     if (ticks % (kFastTicksPerSlow * kSlowTicksPerConfirmation) == 0)
-      AskConfirmation();
+      RequestConfirmation();
     ++ticks;
     guard.lock();
-    tick_wake_.wait_for(guard, stop, kFastTick, [] { return false; });
+    tick_wake_.wait_for(guard, stop, kFastTickInterval, [] { return false; });
   }
 }
 
@@ -78,23 +86,24 @@
                    present->declared().limits.max_configuration_age;
   }
   fleet_.Refresh(membership_, regions);
-  keeper_.Tick();
-  shares_.Tick();
-  FollowMembers();
+  deployment_manager_.Tick();
+  partition_distributor_.Tick();
+  UpdateMembers();
   const bool watching = membership_.IsWatcher(kWatchers);
   follower_.SetWatching(watching);
   instances_.SetWatching(watching);
-  const auto told = follower_.AdvertisedConfig();
-  membership_.SetSelf({.config_version = told.version,
+  const auto own_config = follower_.AdvertisedConfig();
+  membership_.SetSelf({.config_version = own_config.version,
                        .watching = static_cast<std::uint8_t>(watching),
                        .loads = reporter_.Loads()},
-                      ShortDigest(told.digest));
+                      ShortDigest(own_config.digest));
 }
 
-// Gossip tells of newer versions, but not how lately a peer had its own
-// confirmed; without that, entries that don't watch would each ask the
-// platform. So one peer is asked every few seconds.
-void entry_node::AskConfirmation() {
+// Gossip reports newer versions, but not how recently a peer's own
+// configuration was confirmed. Without this request each entry that isn't a
+// watcher would have to ask the platform. One random peer is therefore asked
+// every few seconds.
+void entry_node::RequestConfirmation() {
   const auto peers = fleet_.OwnRegionPeers();
   if (peers.empty())
     return;
@@ -106,15 +115,17 @@
 }
 
 void entry_node::OnImage(const image_ptr& image) {
-  keeper_.OnImage(image);
+  deployment_manager_.OnImage(image);
   const auto present = state_.deployments.Get();
-  shares_.Follow(present);
-  seats_.SetPartitions(SeatCount(present->declared(), settings_.region),
-                       SeatQuarantine(present->declared()));
+  partition_distributor_.Follow(present);
+  partitions_.SetPartitions(
+      PartitionCount(present->declared(), settings_.region),
+      TakeoverDelay(present->declared()));
 }
 
-// Who shares the region's seats and lends its slots.
-void entry_node::FollowMembers() {
+// Live members share the region's slot partitions unless they are leaving; all
+// but this entry may lend their slots.
+void entry_node::UpdateMembers() {
   std::vector<std::string> names;
   std::vector<member> others;
   for (const auto& each : membership_.members()) {
@@ -125,7 +136,7 @@
     if (each.name != settings_.instance)
       others.push_back(each);
   }
-  seats_.SetMembers(names);
+  partitions_.SetMembers(names);
   for (const auto& [service, gate] : gates_.All()) {
     const auto id = ServiceId(service);
     std::vector<lender_digest> lenders;
@@ -140,7 +151,7 @@
 }
 
 void entry_node::OnInstances(const std::vector<instance_info>& instances) {
-  keeper_.OnInstances(instances);
+  deployment_manager_.OnInstances(instances);
   std::vector<std::string> seeds;
   for (const auto& each : instances) {
     if (each.role == "entry" && each.state != instance_state::kGone)
--- a/src/libsamphire/gateway/fleet_view.cc
+++ b/src/libsamphire/gateway/fleet_view.cc
@@ -14,8 +14,9 @@
           .leaving = each.state == member_state::kLeaving};
 }
 
-// A suspect may only be slow, and a look-up that names it costs its callers a
-// failed connection at worst; a dead one would cost that to all of them.
+// A suspected member may merely be slow, and a look-up that names it costs its
+// callers one failed connection at worst. A member that is declared failed
+// would cost that for all of them.
 bool MayServe(const member& each) {
   return each.state != member_state::kDead;
 }
@@ -27,16 +28,16 @@
 
 void fleet_view::Refresh(const membership_service& membership,
                          const std::vector<std::string>& regions) {
-  boost::intrusive_ptr<copy> next(new copy);
-  std::vector<live_entry> named;
+  boost::intrusive_ptr<snapshot> next(new snapshot);
+  std::vector<live_entry> lookup_entries;
   bool first = true;
   for (const auto& each : membership.members()) {
     const bool self = std::exchange(first, false);
     if (!MayServe(each))
       continue;
-    named.push_back(LiveEntryOf(each));
+    lookup_entries.push_back(LiveEntryOf(each));
     if (self && state_.leaving)
-      named.back().leaving = true;
+      lookup_entries.back().leaving = true;
     if (!self)
       next->own_addresses[each.name] = each.peer_address;
   }
@@ -46,19 +47,19 @@
     for (const auto& contact : membership.EntriesOf(region)) {
       next->regions[region].entries.push_back(
           {contact.name, contact.peer_address});
-      named.push_back({.name = contact.name,
-                       .caller_address = contact.caller_address,
-                       .region = region});
+      lookup_entries.push_back({.name = contact.name,
+                                .caller_address = contact.caller_address,
+                                .region = region});
     }
   }
   for (const auto& seen : membership.regions())
     next->regions[seen.digest.region].free_slots = seen.digest.free_slots;
-  copy_.Replace(next);
-  state_.entries.Replace(new entry_directory(named));
+  snapshot_.Replace(next);
+  state_.entries.Replace(new entry_directory(lookup_entries));
 }
 
 std::vector<peer_entry> fleet_view::EntriesIn(const std::string& region) {
-  const auto present = copy_.Get();
+  const auto present = snapshot_.Get();
   if (!present)
     return {};
   const auto found = present->regions.find(region);
@@ -66,9 +67,9 @@
                                          : found->second.entries;
 }
 
-bool fleet_view::HasRoom(const std::string& region,
-                         const std::string& /*service*/) {
-  const auto present = copy_.Get();
+bool fleet_view::HasFreeSlots(const std::string& region,
+                              const std::string& /*service*/) {
+  const auto present = snapshot_.Get();
   if (!present)
     return false;
   const auto found = present->regions.find(region);
@@ -76,7 +77,7 @@
 }
 
 std::string fleet_view::AddressOf(const std::string& name) const {
-  const auto present = copy_.Get();
+  const auto present = snapshot_.Get();
   if (!present)
     return {};
   const auto found = present->own_addresses.find(name);
@@ -85,7 +86,7 @@
 
 std::vector<std::string> fleet_view::OwnRegionPeers() const {
   std::vector<std::string> addresses;
-  const auto present = copy_.Get();
+  const auto present = snapshot_.Get();
   if (!present)
     return addresses;
   for (const auto& [name, address] : present->own_addresses)
--- a/src/libsamphire/gateway/gate_set.cc
+++ b/src/libsamphire/gateway/gate_set.cc
@@ -14,8 +14,8 @@
       clock_(clock),
       sink_(std::move(sink)) {}
 
-// A service that is no longer declared keeps its gate without targets: what
-// runs finishes there, and new requests are refused before they reach it.
+// A service that is no longer declared keeps its gate, without targets: running
+// requests complete there, and new ones are refused before they reach it.
 void gate_set::Follow(const deployment& present) {
   const auto& declared = present.declared();
   std::lock_guard guard(lock_);
--- a/src/libsamphire/gateway/gate_set.h
+++ b/src/libsamphire/gateway/gate_set.h
@@ -15,8 +15,9 @@
 
 using gate_ptr = boost::intrusive_ptr<service_gate>;
 
-// The gates of the services that have targets in this entry's region. They
-// outlive changes of the configuration, since work in progress counts on.
+// The gates of the services that are or were declared, for their targets in
+// this entry's region. Gates survive configuration changes, because work in
+// progress must still be counted. Thread-safe.
 class gate_set {
  public:
   gate_set(std::string region,
@@ -24,13 +25,15 @@
            const clock_source& clock,
            service_gate::message_sink sink);
 
-  // Makes the gates match a new configuration.
+  // Creates and updates the gates to match a new configuration.
   void Follow(const deployment& present);
 
-  // The shift budget that the gates share.
+  // The shift budget that all gates share.
   shift_account& shifts() const { return *shifts_; }
 
+  // Returns the gate of the service, or null.
   gate_ptr Find(const std::string& service) const;
+  // Returns all gates with the names of their services.
   std::vector<std::pair<std::string, gate_ptr>> All() const;
 
  private:
--- a/src/libsamphire/gateway/header_copy.cc
+++ b/src/libsamphire/gateway/header_copy.cc
@@ -11,6 +11,8 @@
 
 namespace {
 
+// Lower-case names of the headers that apply to one connection, or that the
+// entry sets itself for each message that it sends.
 constexpr std::array kHopByHop = {"connection",
                                   "keep-alive",
                                   "proxy-connection",
@@ -24,9 +26,11 @@
                                   "expect",
                                   "host"};
 
+// Lower-case prefix of the entry's own headers.
 const std::string kOwnPrefix = "samphirewinch-";
 
-// Names that the Connection header declares to be of this connection only.
+// Returns the header names that the Connection header restricts to this
+// connection, in lower case.
 std::set<std::string> NamedByConnection(
     const Poco::Net::NameValueCollection& from) {
   std::set<std::string> names;
@@ -47,7 +51,8 @@
     if (lower.starts_with(kOwnPrefix) || named.contains(lower) ||
         std::find(kHopByHop.begin(), kHopByHop.end(), lower) != kHopByHop.end())
       continue;
-    // The first replaces a default such as Date; repeated ones are all kept.
+    // The first value replaces a default, such as that of Date; the values of a
+    // repeated header are all kept.
     if (replaced.insert(lower).second)
       to.erase(name);
     to.add(name, value);
--- a/src/libsamphire/gateway/header_copy.h
+++ b/src/libsamphire/gateway/header_copy.h
@@ -7,8 +7,8 @@
 
 namespace samphire {
 
-// Copies the headers that belong to the message, not to one connection, and
-// none of the entry's own, which a caller or target could forge.
+// Copies the end-to-end headers of a message: neither those that belong to one
+// connection nor the entry's own, which a caller or target could forge.
 void CopyEndToEndHeaders(const Poco::Net::NameValueCollection& from,
                          Poco::Net::NameValueCollection& to);
 
--- a/src/libsamphire/gateway/load_reporter.cc
+++ b/src/libsamphire/gateway/load_reporter.cc
@@ -11,7 +11,8 @@
 
 namespace {
 
-std::uint16_t Narrow(std::size_t value) {
+// Clamps the value to what a service_load can hold.
+std::uint16_t SaturateToUint16(std::size_t value) {
   return static_cast<std::uint16_t>(
       std::min<std::size_t>(value, std::numeric_limits<std::uint16_t>::max()));
 }
@@ -33,8 +34,8 @@
   for (const auto& [name, gate] : gates_.All()) {
     const auto status = gate->status();
     loads.push_back({.service_id = ServiceId(name),
-                     .free_slots = Narrow(status.free),
-                     .queued = Narrow(QueuedIn(status))});
+                     .free_slots = SaturateToUint16(status.free),
+                     .queued = SaturateToUint16(QueuedIn(status))});
   }
   if (loads.size() > kMaxServiceLoads)
     loads.resize(kMaxServiceLoads);
--- a/src/libsamphire/gateway/load_reporter.h
+++ b/src/libsamphire/gateway/load_reporter.h
@@ -9,12 +9,15 @@
 
 namespace samphire {
 
-// Takes stock of the gates: for gossip, and as gauges.
+// Reports the load of all gates, by gossip and as metrics. Thread-safe.
 class load_reporter {
  public:
   load_reporter(gate_set& gates, metrics& counters);
 
+  // Returns free slots and queue lengths by service, for gossip; at most
+  // kMaxServiceLoads services.
   std::vector<service_load> Loads();
+  // Sets the gauges of all services to their present values.
   void SetGauges();
 
  private:
--- a/src/libsamphire/gateway/local_server.cc
+++ b/src/libsamphire/gateway/local_server.cc
@@ -11,21 +11,24 @@
 
 namespace {
 
-// When nothing better is known: about the time of one request.
+// Sent to callers if no better estimate is known: about the duration of one
+// request.
 constexpr milliseconds kDefaultRetryAfter{1000};
 
-std::string DigestTextOf(const caller_request& request) {
+std::string FingerprintTextOf(const caller_request& request) {
   return std::to_string(request.fingerprint);
 }
 
-recorded_response RecordOf(const relay_end& end) {
+// Returns what the ledger records of a response; the body and headers only if
+// the response was buffered.
+recorded_response RecordOf(const relay_result& end) {
   recorded_response record;
   record.status = static_cast<std::uint16_t>(end.status);
-  if (!end.answer)
+  if (!end.response)
     return record;
   record.content_recorded = 1;
-  record.body = end.answer->body;
-  const auto& head = end.answer->head;
+  record.body = end.response->body;
+  const auto& head = end.response->head;
   for (const auto* name : {"Content-Type", "Date", "Location"}) {
     if (head.has(name))
       record.headers.push_back({name, head.get(name)});
@@ -33,25 +36,25 @@
   return record;
 }
 
-held_answer AnswerOf(const recorded_response& record) {
-  held_answer answer;
-  answer.head.setStatus(
+buffered_response ResponseOf(const recorded_response& record) {
+  buffered_response response;
+  response.head.setStatus(
       static_cast<Poco::Net::HTTPResponse::HTTPStatus>(record.status));
-  answer.head.setReason(
-      Poco::Net::HTTPResponse::getReasonForStatus(answer.head.getStatus()));
+  response.head.setReason(
+      Poco::Net::HTTPResponse::getReasonForStatus(response.head.getStatus()));
   for (const auto& header : record.headers)
-    answer.head.set(header.name, header.value);
-  answer.head.setContentLength(
+    response.head.set(header.name, header.value);
+  response.head.setContentLength(
       static_cast<std::streamsize>(record.body.size()));
-  answer.body = record.body;
-  return answer;
+  response.body = record.body;
+  return response;
 }
 
 }  // namespace
 
 local_server::local_server(gate_set& gates,
                            ledger& reservations,
-                           guarded_quarantine& quarantine,
+                           synchronized_quarantine& quarantine,
                            retry_budgets& budgets,
                            connection_pool& pool,
                            const clock_source& clock,
@@ -64,17 +67,18 @@
       clock_(clock),
       metrics_(counters) {}
 
-// The ledger comes first for what may not be repeated: only then is "not run"
-// true of the request and not just of this try, and a repeat is answered from
-// the record without a slot, also under overload.
-serve_end local_server::Serve(const caller_request& request,
-                              const std::string& /*region*/,
-                              const caller_watch& caller,
-                              answer_sink& sink) {
+// A request that may not be repeated goes to the ledger first. Only then does
+// "not run" hold for the request and not merely for this attempt; and a
+// repeated request is answered from the record without a slot, even under
+// overload.
+serve_result local_server::Serve(const caller_request& request,
+                                 const std::string& /*region*/,
+                                 const caller_watch& caller,
+                                 response_sink& sink) {
   progress state{request, caller, sink, gates_.Find(request.service->name)};
   if (!state.gate)
-    return unanswered{
-        Note(state, result_code::kNoTargetAvailable, run_state::kNotRun)};
+    return serve_failure{
+        MakeNote(state, result_code::kNoTargetAvailable, run_state::kNotRun)};
   state.admission = admission_request{
       .id = next_id_++,
       .request_class = request.request_class,
@@ -89,14 +93,14 @@
   const auto& limits = request.deployment->declared().limits;
   budgets_.OnFirstAttempt(request.service->name, limits.retry_budget_percent,
                           clock_.now());
-  return Attempt(state);
+  return RunAttempts(state);
 }
 
-std::optional<serve_end> local_server::Reserve(progress& state) {
+std::optional<serve_result> local_server::Reserve(progress& state) {
   const auto outcome = ledger_.Reserve({
       .service = state.request.service->name,
       .key = state.request.idempotency_key,
-      .request_digest = DigestTextOf(state.request),
+      .request_digest = FingerprintTextOf(state.request),
       .deadline = state.request.deadline,
   });
   if (const auto* got = std::get_if<reserved>(&outcome)) {
@@ -106,31 +110,31 @@
   if (const auto* found = std::get_if<replay>(&outcome))
     return Replay(state, *found);
   if (const auto* running = std::get_if<in_progress>(&outcome)) {
-    auto note =
-        Note(state, result_code::kReservationInProgress, run_state::kUnknown);
+    auto note = MakeNote(state, result_code::kReservationInProgress,
+                         run_state::kUnknown);
     note.retry_after = running->retry_after;
-    return unanswered{note};
+    return serve_failure{note};
   }
   if (std::holds_alternative<in_doubt>(outcome)) {
-    return unanswered{
-        Note(state, result_code::kOutcomeUnknown, run_state::kUnknown)};
+    return serve_failure{
+        MakeNote(state, result_code::kOutcomeUnknown, run_state::kUnknown)};
   }
   const auto& refusal = std::get<refused>(outcome);
-  auto note = Note(state, refusal.code, run_state::kNotRun);
+  auto note = MakeNote(state, refusal.code, run_state::kNotRun);
   note.detail = refusal.detail;
-  return unanswered{note};
+  return serve_failure{note};
 }
 
-serve_end local_server::Replay(progress& state, const replay& found) {
-  const auto note = Note(state, found.code, run_state::kRan);
-  if (found.response.status == 0)
-    return unanswered{note};
-  SendHeld(state.sink, AnswerOf(found.response), note);
-  return answered{};
+serve_result local_server::Replay(progress& state, const replay& found) {
+  const auto note = MakeNote(state, found.code, run_state::kRan);
+  if (found.answer.status == 0)
+    return serve_failure{note};
+  SendBuffered(state.sink, ResponseOf(found.answer), note);
+  return response_sent{};
 }
 
 std::optional<response_status> local_server::CheckQuarantine(progress& state) {
-  switch (quarantine_.Judge(state.request.fingerprint)) {
+  switch (quarantine_.DecisionFor(state.request.fingerprint)) {
     case quarantine_decision::kUnrestricted:
       return std::nullopt;
     case quarantine_decision::kIsolate:
@@ -138,18 +142,19 @@
       AvoidLostTargets(state);
       return std::nullopt;
     case quarantine_decision::kWait:
-      return Note(state, result_code::kSuspectRunning, run_state::kNotRun);
+      return MakeNote(state, result_code::kSuspectRunning, run_state::kNotRun);
     case quarantine_decision::kQuarantined:
-      return Note(state, result_code::kQuarantined, run_state::kNotRun);
+      return MakeNote(state, result_code::kQuarantined, run_state::kNotRun);
   }
   return std::nullopt;
 }
 
-// A suspect that went back to the target which it was lost with would take it
-// down once more and prove nothing: only a second target does.
+// A suspect that ran again on the target with which it was lost would crash
+// that target once more and prove nothing; only the loss of a second target is
+// evidence.
 void local_server::AvoidLostTargets(progress& state) {
   auto& avoided = state.admission.avoid_failure_domains;
-  for (const auto& lost : quarantine_.LostWith(state.request.fingerprint)) {
+  for (const auto& lost : quarantine_.LostTargets(state.request.fingerprint)) {
     for (const auto& each : state.request.service->targets) {
       if (each.name == lost)
         avoided.push_back(each.failure_domain);
@@ -157,47 +162,49 @@
   }
 }
 
-serve_end local_server::Attempt(progress& state) {
+serve_result local_server::RunAttempts(progress& state) {
   while (true) {
     if (auto note = CheckQuarantine(state))
-      return GiveUp(state, note->code, run_state::kNotRun, kDefaultRetryAfter);
+      return Fail(state, note->code, run_state::kNotRun, kDefaultRetryAfter);
     const auto wait = state.gate->Acquire(state.admission, state.caller);
     if (const auto* refused = std::get_if<refusal>(&wait)) {
-      return GiveUp(state, refused->reason, run_state::kNotRun,
-                    refused->retry_after);
+      return Fail(state, refused->reason, run_state::kNotRun,
+                  refused->retry_after);
     }
-    if (std::holds_alternative<caller_left>(wait))
-      return GiveUp(state, result_code::kCallerGone, run_state::kNotRun, {});
+    if (std::holds_alternative<caller_disconnected>(wait))
+      return Fail(state, result_code::kCallerGone, run_state::kNotRun, {});
     const auto& grant = std::get<slot_grant>(wait);
     ++state.attempts;
-    // A reservation may be dispatched up to its time only; after that another
-    // entry may hold it to be in doubt, and an operator release it.
+    // A reservation may be dispatched only until its dispatch time. After that
+    // another entry may treat it as in doubt, and an operator may release it.
     if (state.ticket && !state.ticket->MayDispatch(clock_.now())) {
       state.gate->Finish(grant, attempt_outcome::kCancelled, duration{0});
-      return GiveUp(state, result_code::kQueueExpired, run_state::kNotRun,
-                    kDefaultRetryAfter);
+      return Fail(state, result_code::kQueueExpired, run_state::kNotRun,
+                  kDefaultRetryAfter);
     }
-    if (auto end = Conclude(state, grant, RunOn(state, grant)))
+    if (auto end = Conclude(state, grant, RunAttempt(state, grant)))
       return *std::move(end);
   }
 }
 
-// A caller that leaves cancels its work, except where that work may not be
-// repeated: cut off in the middle, nobody could tell whether it ran, and an
-// operator would have to settle it. Let run to its end, it is recorded, and the
-// caller that sends it again gets the answer.
-relay_end local_server::RunOn(progress& state, const slot_grant& grant) {
-  static const caller_watch nobody;
+// A caller that disconnects cancels its work, unless that work may not be
+// repeated: if it were cut off, nobody could tell whether it had run, and an
+// operator would have to resolve it. It runs to completion instead and is
+// recorded, and the caller gets the response when it sends the request again.
+relay_result local_server::RunAttempt(progress& state,
+                                      const slot_grant& grant) {
+  static const caller_watch no_caller;
   const auto& request = state.request;
-  quarantine_.Started(request.fingerprint, grant.target);
-  answer_relay relay(pool_, state.ticket ? nobody : state.caller, state.sink,
-                     Note(state, result_code::kOk, run_state::kRan));
+  quarantine_.AttemptStarted(request.fingerprint, grant.target);
+  response_relay relay(pool_, state.ticket ? no_caller : state.caller,
+                       state.sink,
+                       MakeNote(state, result_code::kOk, run_state::kRan));
   auto out = MakeTargetRequest(request, grant.address, clock_.now());
   out.fresh_connection |= state.fresh_connection || state.admission.isolate;
   auto end = relay.Run(out);
   state.fresh_connection |= end.was_stale;
   state.may_have_run |= end.was_stale;
-  quarantine_.Finished(request.fingerprint, grant.target, end.outcome);
+  quarantine_.AttemptFinished(request.fingerprint, grant.target, end.outcome);
   state.gate->Finish(grant, end.outcome, end.target_time);
   metrics_.Count("attempts_total",
                  "outcome=\"" +
@@ -214,9 +221,9 @@
   return end;
 }
 
-std::optional<serve_end> local_server::Conclude(progress& state,
-                                                const slot_grant& grant,
-                                                relay_end end) {
+std::optional<serve_result> local_server::Conclude(progress& state,
+                                                   const slot_grant& grant,
+                                                   relay_result end) {
   if (end.relayed || end.outcome == attempt_outcome::kOk)
     return Deliver(state, std::move(end));
   const auto now = clock_.now();
@@ -241,35 +248,36 @@
     state.admission.avoid_failure_domains.push_back(grant.failure_domain);
     return std::nullopt;
   }
-  // The target's own word, even if it tells of an error, says more than ours.
+  // The target's own response, even if it reports an error, tells the caller
+  // more than a refusal by the entry.
   if (end.outcome == attempt_outcome::kTargetError)
     return Deliver(state, std::move(end));
   const auto& final = std::get<final_result>(decision);
-  return GiveUp(state, final.code, final.run, kDefaultRetryAfter);
+  return Fail(state, final.code, final.run, kDefaultRetryAfter);
 }
 
-serve_end local_server::Deliver(progress& state, relay_end end) {
-  if (end.answer) {
-    SendHeld(state.sink, *end.answer,
-             Note(state, result_code::kOk, run_state::kRan));
+serve_result local_server::Deliver(progress& state, relay_result end) {
+  if (end.response) {
+    SendBuffered(state.sink, *end.response,
+                 MakeNote(state, result_code::kOk, run_state::kRan));
   }
   metrics_.Observe("request_seconds",
                    "service=\"" + state.request.service->name + "\",class=\"" +
                        state.request.request_class->name + "\"",
                    clock_.now() - state.request.arrived);
   if (!state.ticket)
-    return answered{};
-  // An answer of which at least the head came proves that the request ran, even
-  // if the rest was lost on the way to the caller.
+    return response_sent{};
+  // A response of which at least the head arrived proves that the request ran,
+  // even if the rest was lost on the way to the caller.
   ledger_.Complete(*state.ticket, RecordOf(end));
-  return answered{};
+  return response_sent{};
 }
 
-serve_end local_server::GiveUp(progress& state,
-                               result_code code,
-                               run_state run,
-                               milliseconds retry_after) {
-  // A later attempt that was refused does not undo an earlier one.
+serve_result local_server::Fail(progress& state,
+                                result_code code,
+                                run_state run,
+                                milliseconds retry_after) {
+  // A later attempt that did not run doesn't prove that an earlier one did not.
   if (run == run_state::kNotRun && state.may_have_run)
     run = run_state::kUnknown;
   if (state.ticket) {
@@ -278,14 +286,14 @@
     else
       ledger_.MarkUnknown(*state.ticket);
   }
-  auto note = Note(state, code, run);
+  auto note = MakeNote(state, code, run);
   note.retry_after = retry_after;
-  return unanswered{note};
+  return serve_failure{note};
 }
 
-response_status local_server::Note(const progress& state,
-                                   result_code code,
-                                   run_state run) const {
+response_status local_server::MakeNote(const progress& state,
+                                       result_code code,
+                                       run_state run) const {
   return response_status{.code = code,
                          .run = run,
                          .config_version = state.request.deployment->version(),
--- a/src/libsamphire/gateway/local_server.h
+++ b/src/libsamphire/gateway/local_server.h
@@ -9,76 +9,96 @@
 
 #include "base/clock_source.h"
 #include "decision/admission_request.h"
-#include "gateway/answer_relay.h"
 #include "gateway/gate_set.h"
-#include "gateway/guarded_quarantine.h"
 #include "gateway/region_server.h"
+#include "gateway/response_relay.h"
 #include "gateway/retry_budgets.h"
+#include "gateway/synchronized_quarantine.h"
 #include "ledger/ledger.h"
 #include "metrics/metrics.h"
 
 namespace samphire {
 
-// Serves requests at the targets of this entry's own region.
+// Serves requests at the targets of this entry's own region: reserves in the
+// ledger where needed, waits for a slot, runs attempts and retries them. Serve
+// may be called by several threads at once; it blocks until the request has
+// ended.
 class local_server final : public region_server {
  public:
   local_server(gate_set& gates,
                ledger& reservations,
-               guarded_quarantine& quarantine,
+               synchronized_quarantine& quarantine,
                retry_budgets& budgets,
                connection_pool& pool,
                const clock_source& clock,
                metrics& counters);
 
-  serve_end Serve(const caller_request& request,
-                  const std::string& region,
-                  const caller_watch& caller,
-                  answer_sink& sink) override;
+  serve_result Serve(const caller_request& request,
+                     const std::string& region,
+                     const caller_watch& caller,
+                     response_sink& sink) override;
 
  private:
-  // One request on its way through its attempts.
+  // State of one request while it is being served.
   struct progress {
     const caller_request& request;
     const caller_watch& caller;
-    answer_sink& sink;
+    response_sink& sink;
+    // Null if the service has no gate in this region.
     gate_ptr gate;
     admission_request admission;
+    // Set for a request that may not be repeated.
     std::optional<reservation_ticket> ticket;
     std::uint32_t attempts = 0;
+    // Whether an attempt has ended without proof that it did not run.
     bool may_have_run = false;
-    // A crash can only be laid at the door of a request that was alone on its
-    // connection, so after a stale one it gets a new one each time.
+    // A crash can be attributed to a request only if it was alone on its
+    // connection, so after a stale connection each further attempt uses a new
+    // one.
     bool fresh_connection = false;
   };
 
-  // A note if the request ends here without a slot.
-  std::optional<serve_end> Reserve(progress& state);
+  // Reserves the idempotency key. Returns a result if the request ends here: it
+  // is replayed, in progress elsewhere, in doubt or refused.
+  std::optional<serve_result> Reserve(progress& state);
+  // Applies the quarantine decision to the admission request. Returns a note if
+  // the request may not run.
   std::optional<response_status> CheckQuarantine(progress& state);
+  // Excludes the failure domains of the targets that were lost with this
+  // request.
   void AvoidLostTargets(progress& state);
-  serve_end Attempt(progress& state);
-  relay_end RunOn(progress& state, const slot_grant& grant);
-  // Whether the end was final; otherwise the next attempt is prepared.
-  std::optional<serve_end> Conclude(progress& state,
-                                    const slot_grant& grant,
-                                    relay_end end);
-  serve_end Deliver(progress& state, relay_end end);
-  // Tells the ledger, then what the caller is told.
-  serve_end GiveUp(progress& state,
-                   result_code code,
-                   run_state run,
-                   milliseconds retry_after);
-  serve_end Replay(progress& state, const replay& found);
-  response_status Note(const progress& state,
-                       result_code code,
-                       run_state run) const;
+  // Runs attempts until the request has ended.
+  serve_result RunAttempts(progress& state);
+  // Runs one attempt on the granted slot, and releases the slot.
+  relay_result RunAttempt(progress& state, const slot_grant& grant);
+  // Returns the result if the attempt was the last; otherwise prepares the next
+  // attempt.
+  std::optional<serve_result> Conclude(progress& state,
+                                       const slot_grant& grant,
+                                       relay_result end);
+  // Sends the target's response, unless it was streamed already, and records it
+  // in the ledger.
+  serve_result Deliver(progress& state, relay_result end);
+  // Settles the reservation according to whether the request may have run, and
+  // returns what the caller is to be told.
+  serve_result Fail(progress& state,
+                    result_code code,
+                    run_state run,
+                    milliseconds retry_after);
+  // Sends the recorded response of an earlier request with the same key.
+  serve_result Replay(progress& state, const replay& found);
+  response_status MakeNote(const progress& state,
+                           result_code code,
+                           run_state run) const;
 
   gate_set& gates_;
   ledger& ledger_;
-  guarded_quarantine& quarantine_;
+  synchronized_quarantine& quarantine_;
   retry_budgets& budgets_;
   connection_pool& pool_;
   const clock_source& clock_;
   metrics& metrics_;
+  // Source of admission request ids, unique per attempt.
   std::atomic<std::uint64_t> next_id_{1};
 };
 
--- a/src/libsamphire/gateway/lookup_handler.cc
+++ b/src/libsamphire/gateway/lookup_handler.cc
@@ -12,6 +12,7 @@
 
 namespace {
 
+// Retry delay that is sent to the caller with a refusal.
 constexpr milliseconds kRetryAfter{500};
 
 struct lookup_query {
@@ -29,7 +30,7 @@
         query.client = value;
     }
   } catch (const Poco::Exception&) {
-    return MakeError(result_code::kMalformedRequest, "nonsense query");
+    return MakeError(result_code::kMalformedRequest, "malformed query string");
   }
   return query;
 }
@@ -41,12 +42,12 @@
 
 void lookup_handler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                    Poco::Net::HTTPServerResponse& response) {
-  const auto answer = Answer(request);
-  if (!answer) {
-    metrics_.CountRefusal(answer.error().code);
-    WriteRefusal(response, response_status{.code = answer.error().code,
+  const auto body = Respond(request);
+  if (!body) {
+    metrics_.CountRefusal(body.error().code);
+    WriteRefusal(response, response_status{.code = body.error().code,
                                            .retry_after = kRetryAfter,
-                                           .detail = answer.error().detail});
+                                           .detail = body.error().detail});
     return;
   }
   metrics_.Count("lookups_total");
@@ -54,10 +55,10 @@
   SetStatusHeaders(response,
                    response_status{.config_version = present->version()});
   response.set("Cache-Control", "no-store");
-  WriteBody(response, "application/json", answer.value());
+  WriteBody(response, "application/json", body.value());
 }
 
-result<std::string> lookup_handler::Answer(
+result<std::string> lookup_handler::Respond(
     const Poco::Net::HTTPServerRequest& request) {
   const auto present = state_.deployments.Get();
   const auto entries = state_.entries.Get();
--- a/src/libsamphire/gateway/lookup_handler.h
+++ b/src/libsamphire/gateway/lookup_handler.h
@@ -10,7 +10,10 @@
 
 namespace samphire {
 
-// GET /v1/lookup?service=S[&client=IP]: which entries to use.
+// Handles GET /v1/lookup?service=S[&client=IP]: returns the entries that the
+// caller should use for the service. Without `client`, the address of the
+// connection determines the caller's home region. Created for each request and
+// used by its connection's thread.
 class lookup_handler final : public Poco::Net::HTTPRequestHandler {
  public:
   lookup_handler(node_state& state, metrics& counters);
@@ -19,7 +22,9 @@
                      Poco::Net::HTTPServerResponse& response) override;
 
  private:
-  result<std::string> Answer(const Poco::Net::HTTPServerRequest& request);
+  // Returns the response body: kNoConfiguration, kMalformedRequest,
+  // kUnknownService or kBadClientAddress if there is none.
+  result<std::string> Respond(const Poco::Net::HTTPServerRequest& request);
 
   node_state& state_;
   metrics& metrics_;
--- a/src/libsamphire/gateway/node_secrets.cc
+++ b/src/libsamphire/gateway/node_secrets.cc
@@ -15,7 +15,8 @@
   auto trimmed = Poco::trim(token);
   if (trimmed.empty()) {
     return MakeError(result_code::kFileUnreadable,
-                     "operator token file " + settings.operator_token_file);
+                     "operator token file is unreadable or empty: " +
+                         settings.operator_token_file);
   }
   return node_secrets{std::move(keys), std::move(trimmed)};
 }
--- a/src/libsamphire/gateway/node_secrets.h
+++ b/src/libsamphire/gateway/node_secrets.h
@@ -9,13 +9,16 @@
 
 namespace samphire {
 
-// What an entry reads from files of its own, so that it stands in no settings,
-// log or status.
+// Secrets that an entry reads from separate files, so that they appear in no
+// settings, log or status.
 struct node_secrets {
   peer_keys keys;
+  // Token that operators' calls must carry; never empty.
   std::string operator_token;
 };
 
+// Reads the files that the settings name. Returns kFileUnreadable if the
+// operator token can't be read or is empty, or the error of peer_keys::Load.
 result<node_secrets> LoadSecrets(const entry_settings& settings);
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/node_state.h
+++ b/src/libsamphire/gateway/node_state.h
@@ -10,16 +10,17 @@
 
 namespace samphire {
 
-// What the request threads of one entry read without a lock.
+// State of one entry that its request threads read without a lock.
 struct node_state {
-  // Null until a version is confirmed.
+  // The configuration in force; null until a version is confirmed.
   shared_snapshot<deployment> deployments;
-  // The entries that look-ups name.
+  // The entries that look-ups name; null until the first refresh.
   shared_snapshot<entry_directory> entries;
-  // Set by a planned stop: look-ups leave this entry out, requests go on.
+  // Set by a planned stop: look-ups no longer name this entry, requests are
+  // still served.
   std::atomic<bool> leaving = false;
-  // Whether the configuration was confirmed lately enough to run what may not
-  // be repeated.
+  // Whether the configuration was confirmed recently enough to run requests
+  // that may not be repeated.
   std::atomic<bool> fresh = true;
 };
 
--- a/src/libsamphire/gateway/note_reader.cc
+++ b/src/libsamphire/gateway/note_reader.cc
@@ -27,7 +27,7 @@
                          .retry_after = milliseconds(retry_after)};
 }
 
-bool IsAnswer(const response_status& note) {
+bool IsTargetResponse(const response_status& note) {
   return note.code == result_code::kOk || note.code == result_code::kReplayed ||
          note.code == result_code::kAnswerTooLargeToRecord;
 }
--- a/src/libsamphire/gateway/note_reader.h
+++ b/src/libsamphire/gateway/note_reader.h
@@ -9,11 +9,13 @@
 
 namespace samphire {
 
-// What another entry said on its answer; nothing if it was no entry's.
+// Reads the headers that another entry added to its response; nothing if they
+// are missing or invalid, so that the response isn't an entry's.
 std::optional<response_status> ReadNote(const Poco::Net::HTTPResponse& head);
 
-// Whether the note goes with the answer of a run rather than with a refusal.
-bool IsAnswer(const response_status& note);
+// Whether the note belongs to the response of a request that ran, rather than
+// to a refusal.
+bool IsTargetResponse(const response_status& note);
 
 }  // namespace samphire
 
--- a/src/libsamphire/gateway/outgoing_request.h
+++ b/src/libsamphire/gateway/outgoing_request.h
@@ -10,13 +10,16 @@
 
 namespace samphire {
 
-// What is sent to a target or a peer.
+// A request to a target or peer.
 struct outgoing_request {
+  // Host and port to connect to.
   std::string address;
   Poco::Net::HTTPRequest head;
+  // Refers to the body of the caller_request, which must outlive this.
   std::string_view body;
+  // Latest time at which the response may arrive.
   time_point deadline;
-  // Never on a connection that was used before.
+  // Whether a connection that was used before must not be used.
   bool fresh_connection = false;
 };
 
--- a/src/libsamphire/gateway/peer_call.h
+++ b/src/libsamphire/gateway/peer_call.h
@@ -20,17 +20,17 @@
 
 namespace samphire {
 
-// The calls by which entries bring each other up to date, over TCP. Each is
-// answered with the value named beside it.
+// The calls by which entries get the configuration and the instance list from
+// each other, over TCP. The type after each arrow is that of the response.
 
-// What do you have? -> peer_config
-struct config_ask {
+// Asks which configuration the peer has. -> peer_config
+struct config_status_request {
   template <typename Archive>
   void serialize(Archive& /*archive*/) {}
 };
 
-// Bring me from this version to yours. -> config_update
-struct config_pull {
+// Asks for the update from the sender's version to the peer's. -> config_update
+struct config_update_request {
   std::uint64_t have_version = 0;
 
   template <typename Archive>
@@ -39,8 +39,10 @@
   }
 };
 
-// The texts of these chunks. -> std::vector<std::string>
-struct chunk_ask {
+// Asks for the texts of these chunks, in this order.
+// -> std::vector<std::string>
+struct chunk_request {
+  // Bounds the references in one request; a message with more is malformed.
   static constexpr std::size_t kMaxRefs = 4096;
   std::vector<std::string> refs;
 
@@ -50,9 +52,9 @@
   }
 };
 
-// The platform's instance list, if it is not the one I know.
+// Asks for the platform's instance list unless its digest is `known`.
 // -> std::optional<instance_list>
-struct instances_ask {
+struct instance_list_request {
   std::string known;
 
   template <typename Archive>
@@ -61,8 +63,11 @@
   }
 };
 
-using peer_call =
-    std::variant<config_ask, config_pull, chunk_ask, instances_ask>;
+// The order of the alternatives is part of the encoding.
+using peer_call = std::variant<config_status_request,
+                               config_update_request,
+                               chunk_request,
+                               instance_list_request>;
 
 template <typename Archive>
 void serialize(Archive& archive, peer_config& config) {
--- a/src/libsamphire/gateway/peer_call_handler.h
+++ b/src/libsamphire/gateway/peer_call_handler.h
@@ -15,17 +15,19 @@
 
 namespace samphire {
 
-// What peers are answered from.
+// What all handlers of peer calls share. Thread-safe, as its parts are.
 struct peer_call_context {
   config_follower& configuration;
   instance_follower& instances;
   peer_signer& signer;
   metrics& counters;
   front_limits limits;
+  // Address of this entry for which peers sign their calls.
   std::string peer_address;
 };
 
-// Answers one call of a peer.
+// Handles one peer_call. Created for each request and used by its connection's
+// thread.
 class peer_call_handler final : public Poco::Net::HTTPRequestHandler {
  public:
   explicit peer_call_handler(peer_call_context& context);
@@ -34,7 +36,8 @@
                      Poco::Net::HTTPServerResponse& response) override;
 
  private:
-  result<std::string> Answer(front_request& request);
+  // Reads and verifies the call, and returns the encoded response.
+  result<std::string> Respond(front_request& request);
 
   peer_call_context& context_;
 };
--- a/src/libsamphire/gateway/peer_call_path.h
+++ b/src/libsamphire/gateway/peer_call_path.h
@@ -5,7 +5,7 @@
 
 namespace samphire {
 
-// Where an entry takes the calls of its peers.
+// Path on the peers' port at which an entry receives peer_call messages.
 inline const std::string kPeerCallPath = "/v1/peer/call";
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/peer_caller.cc
+++ b/src/libsamphire/gateway/peer_caller.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A peer that does not answer by then is as good as gone: the follower asks
-// the next.
+// Bounds one call. A peer that doesn't respond within this time is treated as
+// unreachable, and the follower asks the next one.
 constexpr milliseconds kCallTimeout{1500};
 }  // namespace
 
@@ -24,24 +24,25 @@
 }
 
 result<peer_config> peer_caller::QueryConfig(const std::string& peer) {
-  return CallFor<peer_config>(peer, config_ask{});
+  return CallFor<peer_config>(peer, config_status_request{});
 }
 
 result<config_update> peer_caller::Pull(const std::string& peer,
                                         std::uint64_t have_version) {
-  return CallFor<config_update>(peer, config_pull{have_version});
+  return CallFor<config_update>(peer, config_update_request{have_version});
 }
 
 result<std::vector<std::string>> peer_caller::Chunks(
     const std::string& peer,
     const std::vector<std::string>& refs) {
-  return CallFor<std::vector<std::string>>(peer, chunk_ask{refs});
+  return CallFor<std::vector<std::string>>(peer, chunk_request{refs});
 }
 
 result<std::optional<instance_list>> peer_caller::Instances(
     const std::string& peer,
     const std::string& known) {
-  return CallFor<std::optional<instance_list>>(peer, instances_ask{known});
+  return CallFor<std::optional<instance_list>>(peer,
+                                               instance_list_request{known});
 }
 
 template <typename T>
--- a/src/libsamphire/gateway/peer_caller.h
+++ b/src/libsamphire/gateway/peer_caller.h
@@ -13,10 +13,14 @@
 
 namespace samphire {
 
-// The other entries, as a follower of the configuration asks them.
+// Calls the other entries on behalf of config_follower and instance_follower,
+// with one request each. Thread-safe; calls block for a bounded time. Errors
+// are those of PostToPeer, and kPeerMalformed for a response that can't be
+// decoded.
 class peer_caller final : public config_peer_source {
  public:
-  // Peer addresses of live entries, the nearest first.
+  // Returns the peer addresses of live entries, in the order in which they are
+  // to be asked; called from any thread.
   using peer_list = std::function<std::vector<std::string>()>;
 
   peer_caller(connection_pool& pool, peer_signer& signer, peer_list peers);
@@ -33,7 +37,9 @@
       const std::string& known) override;
 
  private:
+  // Sends a call and returns the encoded response.
   result<std::string> Call(const std::string& peer, const peer_call& call);
+  // Sends a call and decodes the response as a T.
   template <typename T>
   result<T> CallFor(const std::string& peer, const peer_call& call);
 
--- a/src/libsamphire/gateway/peer_directory.h
+++ b/src/libsamphire/gateway/peer_directory.h
@@ -6,21 +6,23 @@
 
 namespace samphire {
 
-// An entry that requests can be passed to.
+// An entry to which requests can be forwarded.
 struct peer_entry {
   std::string name;
   std::string peer_address;
 };
 
-// Who can be reached in other regions, as far as this entry knows.
+// The entries that are known in other regions. Functions may be called from any
+// thread; what they return may lag behind.
 class peer_directory {
  public:
   virtual ~peer_directory() = default;
-  // Live entries of the region, none that leaves, the least loaded first.
+  // Returns the live entries of the region, without leaving ones, in the order
+  // in which this entry is to try them.
   virtual std::vector<peer_entry> EntriesIn(const std::string& region) = 0;
-  // Whether gossip last told of free slots of the service in the region.
-  virtual bool HasRoom(const std::string& region,
-                       const std::string& service) = 0;
+  // Whether gossip last reported free slots of the service in the region.
+  virtual bool HasFreeSlots(const std::string& region,
+                            const std::string& service) = 0;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/peer_handler_factory.h
+++ b/src/libsamphire/gateway/peer_handler_factory.h
@@ -8,12 +8,14 @@
 
 namespace samphire {
 
-// The handlers of the peers' port: calls between entries, and requests that
-// another region's entries pass here.
+// Creates the request handlers of the peers' port: for calls between entries,
+// and for requests that entries of other regions forward. createRequestHandler
+// is called by each connection's own thread.
 class peer_handler_factory final : public Poco::Net::HTTPRequestHandlerFactory {
  public:
   peer_handler_factory(service_context& services, peer_call_context& calls);
 
+  // Returns a new handler, which the server deletes; never null.
   Poco::Net::HTTPRequestHandler* createRequestHandler(
       const Poco::Net::HTTPServerRequest& request) override;
 
--- a/src/libsamphire/gateway/peer_messenger.cc
+++ b/src/libsamphire/gateway/peer_messenger.cc
@@ -14,7 +14,8 @@
                                    message_kind::kLoanResponse,
                                    message_kind::kLoanReturn};
 
-struct kind_of_loan {
+// Returns the datagram kind in which a loan message is sent.
+struct loan_message_kind {
   message_kind operator()(const loan_request& /*message*/) const {
     return message_kind::kLoanRequest;
   }
@@ -46,7 +47,8 @@
                                metrics& counters)
     : transport_(transport), fleet_(fleet), metrics_(counters) {}
 
-void peer_messenger::Receive(gate_set& gates, guarded_quarantine& quarantine) {
+void peer_messenger::RegisterHandlers(gate_set& gates,
+                                      synchronized_quarantine& quarantine) {
   for (const auto kind : kLoanKinds) {
     transport_.OnMessage(kind, [this, &gates](const peer_message& message) {
       OnLoan(gates, message);
@@ -75,21 +77,21 @@
   gate->Receive(message.sender, *loan);
 }
 
-// A message to a member that has gone is dropped, which is what would become
-// of it on the way; the loans are made for lost messages.
+// A message to a member that has gone is dropped; it would be lost on the way
+// otherwise, and the loan protocol tolerates lost messages.
 void peer_messenger::Send(const loan_outbox& messages) {
   for (const auto& each : messages) {
     const auto address = fleet_.AddressOf(each.to);
     if (address.empty())
       continue;
     metrics_.Count("loan_messages_total");
-    static_cast<void>(transport_.Send(address,
-                                      std::visit(kind_of_loan{}, each.message),
-                                      EncodeBinary(each.message)));
+    static_cast<void>(
+        transport_.Send(address, std::visit(loan_message_kind{}, each.message),
+                        EncodeBinary(each.message)));
   }
 }
 
-void peer_messenger::Tell(const crash_notice& notice) {
+void peer_messenger::Broadcast(const crash_notice& notice) {
   metrics_.Count("crash_notices_total");
   const auto payload = EncodeBinary(notice);
   for (const auto& address : fleet_.OwnRegionPeers()) {
--- a/src/libsamphire/gateway/peer_messenger.h
+++ b/src/libsamphire/gateway/peer_messenger.h
@@ -4,29 +4,35 @@
 #include "decision/crash_notice.h"
 #include "gateway/fleet_view.h"
 #include "gateway/gate_set.h"
-#include "gateway/guarded_quarantine.h"
+#include "gateway/synchronized_quarantine.h"
 #include "metrics/metrics.h"
 #include "peer/peer_transport.h"
 
 namespace samphire {
 
-// Carries loan messages and crash notices between the entries of a region.
+// Carries loan messages and crash notices between the entries of a region, in
+// datagrams that may get lost. Send and Broadcast are thread-safe and don't
+// wait for delivery.
 class peer_messenger {
  public:
   peer_messenger(peer_transport& transport,
                  fleet_view& fleet,
                  metrics& counters);
 
-  // Before the transport starts.
-  void Receive(gate_set& gates, guarded_quarantine& quarantine);
+  // Delivers received messages to `gates` and `quarantine`, on the thread of
+  // the transport. To be called before the transport starts.
+  void RegisterHandlers(gate_set& gates, synchronized_quarantine& quarantine);
 
-  // Afterwards nothing is delivered any more.
+  // Ends delivery; on return no handler is running.
   void Stop();
 
+  // Sends each loan message to the member that it names.
   void Send(const loan_outbox& messages);
-  void Tell(const crash_notice& notice);
+  // Sends the notice to all other members of the region.
+  void Broadcast(const crash_notice& notice);
 
  private:
+  // Decodes a loan message and passes it to the gate of its service.
   void OnLoan(gate_set& gates, const peer_message& message);
 
   peer_transport& transport_;
--- a/src/libsamphire/gateway/peer_post.cc
+++ b/src/libsamphire/gateway/peer_post.cc
@@ -9,22 +9,26 @@
 
 namespace {
 
-// The whole of the largest declaration, with room.
-constexpr std::size_t kMaxAnswerBytes = std::size_t{256} << 20U;
-constexpr std::size_t kPieceBytes = 16384;
+// Bounds a response: the largest complete declaration, with a margin.
+constexpr std::size_t kMaxResponseBytes = std::size_t{256} << 20U;
+// Bounds what is read from the connection at once.
+constexpr std::size_t kReadBufferBytes = 16384;
 
-result<std::string> ReadWhole(http_exchange& exchange) {
+// Reads the body of a response to its end.
+result<std::string> ReadWholeBody(http_exchange& exchange) {
   std::string body;
-  std::array<char, kPieceBytes> piece;
+  std::array<char, kReadBufferBytes> buffer;
   while (true) {
-    const auto got = exchange.ReadBody(piece);
+    const auto got = exchange.ReadBody(buffer);
     if (!got)
-      return MakeError(result_code::kPeerTimeout, "the answer broke off");
+      return MakeError(result_code::kPeerTimeout,
+                       "response body ended before it was complete");
     if (got.value() == 0)
       return body;
-    body.append(piece.data(), got.value());
-    if (body.size() > kMaxAnswerBytes)
-      return MakeError(result_code::kPeerMalformed, "the answer is too long");
+    body.append(buffer.data(), got.value());
+    if (body.size() > kMaxResponseBytes)
+      return MakeError(result_code::kPeerMalformed,
+                       "response body exceeds the size limit");
   }
 }
 
@@ -44,15 +48,15 @@
                                           .request_target = path,
                                           .receiver_address = peer,
                                           .signed_content = body}));
-  const caller_watch nobody;
-  http_exchange exchange(pool, peer, nobody,
+  const caller_watch no_caller;
+  http_exchange exchange(pool, peer, no_caller,
                          std::chrono::steady_clock::now() + timeout);
   if (!exchange.Connect(false) || !exchange.Send(head, body))
     return MakeError(result_code::kPeerUnreachable, peer);
-  BOOST_OUTCOME_TRY(answer, exchange.ReadHead());
-  if (answer->getStatus() != Poco::Net::HTTPResponse::HTTP_OK)
-    return MakeError(result_code::kPeerDeclined, answer->getReason());
-  return ReadWhole(exchange);
+  BOOST_OUTCOME_TRY(response, exchange.ReadHead());
+  if (response->getStatus() != Poco::Net::HTTPResponse::HTTP_OK)
+    return MakeError(result_code::kPeerDeclined, response->getReason());
+  return ReadWholeBody(exchange);
 }
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/peer_post.h
+++ b/src/libsamphire/gateway/peer_post.h
@@ -10,9 +10,11 @@
 
 namespace samphire {
 
-// One signed call to a peer and its whole answer: kPeerUnreachable,
-// kPeerTimeout or kPeerMalformed when there is none, and kPeerDeclined when the
-// peer answered that it has none.
+// Sends one signed POST to a peer and returns the complete response body.
+// Blocks for `timeout` at most. Returns kPeerUnreachable if the request
+// couldn't be sent, kPeerTimeout if the body ended early, kPeerMalformed if it
+// is too long, kPeerDeclined if the peer refused the call, and the error of
+// http_exchange if there was no response head.
 result<std::string> PostToPeer(connection_pool& pool,
                                peer_signer& signer,
                                const std::string& peer,
--- a/src/libsamphire/gateway/peer_read.h
+++ b/src/libsamphire/gateway/peer_read.h
@@ -11,8 +11,10 @@
 
 namespace samphire {
 
-// The body of a call that a peer has signed for this entry, at most `limit`
-// bytes and whole by `deadline`.
+// Reads the body of a call and verifies that a peer signed it for this entry,
+// `own_address`. The body may have `limit` bytes at most and must be complete
+// by `deadline`. Blocks until then; returns the error of the read or of the
+// verification.
 result<std::string> ReadPeerCall(front_request& request,
                                  peer_signer& signer,
                                  const std::string& own_address,
--- a/src/libsamphire/gateway/peer_signer.cc
+++ b/src/libsamphire/gateway/peer_signer.cc
@@ -27,9 +27,9 @@
   return verifier_.Verify(request, token, clock_.wall_now());
 }
 
-std::string PassedContent(const std::string& home_region,
-                          const std::string& idempotency_key,
-                          const std::string& body) {
+std::string ForwardedContent(const std::string& home_region,
+                             const std::string& idempotency_key,
+                             const std::string& body) {
   return fmt::format("{}\n{}\n{}", home_region, idempotency_key,
                      DigestOfBody(body));
 }
--- a/src/libsamphire/gateway/peer_signer.h
+++ b/src/libsamphire/gateway/peer_signer.h
@@ -12,12 +12,16 @@
 
 namespace samphire {
 
-// Signs the requests that this entry sends to its peers, and checks theirs.
+// Signs the requests that this entry sends to its peers, and verifies those
+// that they send. Thread-safe.
 class peer_signer {
  public:
   peer_signer(peer_keys keys, peer_identity self, const clock_source& clock);
 
+  // Returns the token for the header kPeerTokenHeader; each has a new nonce.
   std::string Sign(const peer_request& request);
+  // Returns the sender of a request. Errors are those of peer_token_verifier,
+  // which also refuses a token that was used before.
   result<peer_identity> Verify(const peer_request& request,
                                std::string_view token);
 
@@ -29,12 +33,13 @@
   std::atomic<std::uint64_t> nonce_;
 };
 
-// What a token for a passed request covers besides its line: a forged home
-// region would charge the wrong shift cap, a forged body or key run the wrong
-// request.
-std::string PassedContent(const std::string& home_region,
-                          const std::string& idempotency_key,
-                          const std::string& body);
+// Returns what the token of a forwarded request covers in addition to the
+// request line. With a forged home region the request would be charged to the
+// wrong shift cap; with a forged body or idempotency key the wrong request
+// would run.
+std::string ForwardedContent(const std::string& home_region,
+                             const std::string& idempotency_key,
+                             const std::string& body);
 
 }  // namespace samphire
 
--- a/src/libsamphire/gateway/refusal_handler.h
+++ b/src/libsamphire/gateway/refusal_handler.h
@@ -9,7 +9,8 @@
 
 namespace samphire {
 
-// Answers whatever the port does not serve.
+// Refuses a request for a path that the port doesn't serve, and counts the
+// refusal.
 class refusal_handler final : public Poco::Net::HTTPRequestHandler {
  public:
   refusal_handler(result_code code, metrics& counters)
--- a/src/libsamphire/gateway/region_choice.cc
+++ b/src/libsamphire/gateway/region_choice.cc
@@ -4,21 +4,23 @@
 
 namespace {
 
+// Bounds the regions that are tried for one request.
 constexpr std::size_t kMaxRegions = 2;
 
 }  // namespace
 
-// Made for a downpour, when the home region is full, and for a region that has
-// gone dark. Trying every region in turn would multiply the load just when all
-// are full; so a second is tried only if it told of room, and no third. The
-// cap on the shift is kept at the region where the load lands: here nothing is
-// counted, since what this entry believes of other regions lags.
+// Serves two cases: a heavy rain, when the home region is full, and a region
+// that has become unreachable. Trying every region in turn would multiply the
+// load just when all of them are full, so a second region is tried only if it
+// reported free slots, and a third never. The shift cap is enforced in the
+// region that receives the load. Nothing is counted here, because what this
+// entry knows of other regions lags behind.
 std::vector<std::string> ChooseRegions(
-    const std::vector<region_option>& regions) {
+    const std::vector<region_candidate>& regions) {
   std::vector<std::string> chosen;
   for (const auto& each : regions) {
     const bool possible = each.own || each.reachable;
-    const bool wanted = chosen.empty() || each.own || each.has_room;
+    const bool wanted = chosen.empty() || each.own || each.has_free_slots;
     if (possible && wanted)
       chosen.push_back(each.name);
     if (chosen.size() == kMaxRegions)
@@ -27,8 +29,9 @@
   return chosen;
 }
 
-// Only what surely did not run, and only what another region can change: a
-// key that is used elsewhere or a request in quarantine is refused by all.
+// Only requests that certainly did not run are shifted, and only for reasons
+// that don't hold in every region: an idempotency key that is in use elsewhere,
+// or a request in quarantine, is refused by all of them.
 bool MayShift(const response_status& note) {
   if (note.run != run_state::kNotRun)
     return false;
--- a/src/libsamphire/gateway/region_choice.h
+++ b/src/libsamphire/gateway/region_choice.h
@@ -10,23 +10,27 @@
 
 namespace samphire {
 
-// What is known of a region when a request looks for one.
-struct region_option {
+// What is known of a region when one is chosen for a request.
+struct region_candidate {
   std::string name;
-  // The entry's own region, whose targets it admits to itself.
+  // Whether this is the entry's own region, to whose targets it admits requests
+  // itself.
   bool own = false;
-  // Live entries are known there.
+  // Whether live entries are known in the region.
   bool reachable = false;
-  // Gossip told of free slots of the service.
-  bool has_room = false;
+  // Whether gossip reported free slots of the service in the region; see
+  // peer_directory.
+  bool has_free_slots = false;
 };
 
-// The regions to try, in order: at most two, and a second only where there is
-// room for the load that the first refuses.
+// Returns the regions to try, in the order of the candidates: at most two, and
+// a second one only if it is the own region or has free slots for the load that
+// the first refuses.
 std::vector<std::string> ChooseRegions(
-    const std::vector<region_option>& regions);
+    const std::vector<region_candidate>& regions);
 
-// Whether a request that ended like this may be shifted to the next region.
+// Whether a request that ended with this note may be shifted to the next
+// region.
 bool MayShift(const response_status& note);
 
 }  // namespace samphire
--- /dev/null
+++ b/src/libsamphire/gateway/remote_server.cc
@@ -0,0 +1,140 @@
+#include "gateway/remote_server.h"
+
+#include <utility>
+
+#include "front/header_names.h"
+#include "gateway/note_reader.h"
+#include "gateway/target_request.h"
+
+namespace samphire {
+
+namespace {
+
+// Bounds the entries of the region that are tried. A second one is tried if the
+// first is unreachable; a third would only add to the time that the caller
+// waits for an unreachable region.
+constexpr std::size_t kMaxPeers = 2;
+
+// Retry delay that is sent to the caller if no entry could serve the request.
+constexpr milliseconds kRetryAfter{1000};
+
+// Returns the note for a request that no entry of the region has served.
+response_status FailureNote(const caller_request& request,
+                            result_code code,
+                            run_state run) {
+  return response_status{.code = code,
+                         .run = run,
+                         .config_version = request.deployment->version(),
+                         .retry_after = kRetryAfter};
+}
+
+// An entry that forwarded a request and gets no response can't know whether it
+// ran; only a connection that was never established proves that it did not.
+response_status NoteForOutcome(const caller_request& request,
+                               attempt_outcome outcome) {
+  if (outcome == attempt_outcome::kConnectFailed)
+    return FailureNote(request, result_code::kNoPeerInRegion,
+                       run_state::kNotRun);
+  if (outcome == attempt_outcome::kCancelled)
+    return FailureNote(request, result_code::kCallerGone, run_state::kUnknown);
+  if (outcome == attempt_outcome::kTimedOut)
+    return FailureNote(request, result_code::kDeadlineExceeded,
+                       run_state::kUnknown);
+  return FailureNote(request, result_code::kPeerLost, run_state::kUnknown);
+}
+
+}  // namespace
+
+remote_server::remote_server(peer_directory& peers,
+                             peer_signer& signer,
+                             retry_budgets& budgets,
+                             connection_pool& pool,
+                             const clock_source& clock,
+                             metrics& counters)
+    : peers_(peers),
+      signer_(signer),
+      budgets_(budgets),
+      pool_(pool),
+      clock_(clock),
+      metrics_(counters) {}
+
+serve_result remote_server::Serve(const caller_request& request,
+                                  const std::string& region,
+                                  const caller_watch& caller,
+                                  response_sink& sink) {
+  response_status last =
+      FailureNote(request, result_code::kNoPeerInRegion, run_state::kNotRun);
+  const auto peers = peers_.EntriesIn(region);
+  for (std::size_t i = 0; i < peers.size() && i < kMaxPeers; ++i) {
+    if (i > 0 && !MayTryNext(request, last))
+      break;
+    auto end = ForwardTo(request, peers[i], caller, sink);
+    const auto* failed = std::get_if<serve_failure>(&end);
+    if (failed == nullptr)
+      return end;
+    last = failed->note;
+    const bool peer_gone = last.code == result_code::kNoPeerInRegion ||
+                           last.code == result_code::kPeerLost ||
+                           last.code == result_code::kEntryLeaving;
+    if (!peer_gone)
+      return end;
+  }
+  return serve_failure{last};
+}
+
+bool remote_server::MayTryNext(const caller_request& request,
+                               const response_status& note) {
+  const auto now = clock_.now();
+  const auto& service = request.service->name;
+  const bool safe =
+      request.request_class->repeatable || note.run == run_state::kNotRun;
+  if (!safe || now >= request.deadline || !budgets_.Allows(service, now))
+    return false;
+  budgets_.Spend(service, now);
+  metrics_.CountRetry(note.code);
+  return true;
+}
+
+serve_result remote_server::ForwardTo(const caller_request& request,
+                                      const peer_entry& peer,
+                                      const caller_watch& caller,
+                                      response_sink& sink) {
+  metrics_.Count("passed_total");
+  response_relay relay(
+      pool_, caller, sink,
+      response_status{.run = run_state::kRan,
+                      .config_version = request.deployment->version()});
+  const auto end = relay.Run(MakeForwardedRequest(request, peer));
+  if (end.relayed)
+    return response_sent{};
+  if (!end.response) {
+    pool_.Forget(peer.peer_address);
+    return serve_failure{NoteForOutcome(request, end.outcome)};
+  }
+  const auto note = ReadNote(end.response->head);
+  if (!note)
+    return serve_failure{
+        FailureNote(request, result_code::kPeerLost, run_state::kUnknown)};
+  if (!IsTargetResponse(*note))
+    return serve_failure{*note};
+  SendBuffered(sink, *end.response, *note);
+  return response_sent{};
+}
+
+outgoing_request remote_server::MakeForwardedRequest(
+    const caller_request& request,
+    const peer_entry& peer) {
+  auto out = MakeTargetRequest(request, peer.peer_address, clock_.now());
+  out.head.setURI("/v1/services/" + request.service->name + request.path);
+  out.head.set(kHeaderHomeRegion, request.home_region);
+  out.head.set(kPeerTokenHeader,
+               signer_.Sign({.method = request.method,
+                             .target = out.head.getURI(),
+                             .receiver = peer.peer_address,
+                             .content = ForwardedContent(
+                                 request.home_region, request.idempotency_key,
+                                 request.body)}));
+  return out;
+}
+
+}  // namespace samphire
--- a/src/libsamphire/gateway/request_reader.cc
+++ b/src/libsamphire/gateway/request_reader.cc
@@ -18,22 +18,26 @@
 namespace {
 
 constexpr std::string_view kServicesPrefix = "/v1/services/";
+// Bounds the length of an accepted idempotency key, in bytes.
 constexpr std::size_t kMaxKeyLength = 255;
+// Bounds the length of a caller's request id that is kept, in bytes.
 constexpr std::size_t kMaxRequestIdLength = 128;
 
+// Whether the text consists of printable ASCII without spaces.
 bool IsPrintable(const std::string& text) {
   return std::all_of(text.begin(), text.end(),
                      [](char c) { return c > ' ' && c < 0x7f; });
 }
 
+// Returns a random number of the process and a counter.
 std::string NewRequestId() {
   static const std::uint64_t process = std::random_device{}();
   static std::atomic<std::uint64_t> count{0};
   return fmt::format("{:08x}-{}", process, ++count);
 }
 
-// The caller's own id is kept, so that its logs and ours can be laid side by
-// side; one that could break a log line or a header is replaced.
+// The caller's own id is kept so that its logs can be correlated with those of
+// the entry; an id that could corrupt a log line or a header is replaced.
 std::string RequestIdOf(const Poco::Net::HTTPServerRequest& request) {
   const auto id = request.get(kHeaderRequestId, "");
   const bool usable =
@@ -41,24 +45,27 @@
   return usable ? id : NewRequestId();
 }
 
-// A caller may ask for less time than the class gives, or for more up to the
-// class's bound. Nonsense is refused rather than replaced: a caller that
-// believes in ten seconds must not be served with one.
+// A caller may request less time than the class provides, or more up to the
+// class's maximum. An invalid value is refused rather than replaced by the
+// default: a caller that counts on ten seconds must not be given one.
 result<milliseconds> DeadlineOf(const Poco::Net::HTTPServerRequest& request,
                                 const request_class& rules) {
   if (!request.has(kHeaderDeadline))
     return rules.deadline;
-  Poco::UInt64 asked = 0;
+  Poco::UInt64 requested = 0;
   if (!Poco::NumberParser::tryParseUnsigned64(request.get(kHeaderDeadline),
-                                              asked) ||
-      asked == 0) {
-    return MakeError(result_code::kBadDeadline, "not a number above 0");
+                                              requested) ||
+      requested == 0) {
+    return MakeError(result_code::kBadDeadline,
+                     "deadline is not a positive number of milliseconds");
   }
   const auto longest = static_cast<Poco::UInt64>(
       std::max(rules.max_deadline, rules.deadline).count());
-  return milliseconds(std::min(asked, longest));
+  return milliseconds(std::min(requested, longest));
 }
 
+// Returns the idempotency key, which is mandatory and validated only if
+// requests of the class may not be repeated.
 result<std::string> KeyOf(const Poco::Net::HTTPServerRequest& request,
                           const request_class& rules) {
   const auto key = request.get(kHeaderIdempotencyKey, "");
@@ -101,9 +108,9 @@
   read.idempotency_key = key;
   read.arrived = now;
   read.deadline = now + time;
-  read.passed = !home_region.empty();
+  read.forwarded = !home_region.empty();
   read.home_region = home_region;
-  if (!read.passed) {
+  if (!read.forwarded) {
     const auto address =
         ParseIpAddress(request.clientAddress().host().toString());
     read.home_region =
--- a/src/libsamphire/gateway/request_reader.h
+++ b/src/libsamphire/gateway/request_reader.h
@@ -11,16 +11,18 @@
 
 namespace samphire {
 
-// Reads and checks the head of a request to /v1/services/S/PATH; the body is
-// left to be read. `home_region` is empty for a request of a caller, whose
-// address then tells it.
+// Parses and validates the head of a request to /v1/services/S/PATH; the body
+// remains to be read. `home_region` is empty for a request that comes from its
+// caller, whose address then determines the region. Returns kUnknownPath,
+// kUnknownService, kBadDeadline, kIdempotencyKeyMissing or kBadIdempotencyKey
+// for a request that can't be served.
 result<caller_request> ReadRequestHead(
     const Poco::Net::HTTPServerRequest& request,
     deployment_ptr present,
     const std::string& home_region,
     time_point now);
 
-// Gives the request its body and what follows from it.
+// Sets the body, and the fingerprint that is computed from it.
 void SetBody(caller_request& request, std::string body);
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/request_router.h
+++ b/src/libsamphire/gateway/request_router.h
@@ -4,19 +4,21 @@
 #include <string>
 
 #include "base/clock_source.h"
-#include "gateway/answer_sink.h"
 #include "gateway/caller_request.h"
 #include "gateway/peer_directory.h"
 #include "gateway/region_server.h"
+#include "gateway/response_sink.h"
 #include "metrics/metrics.h"
 #include "proxy/caller_watch.h"
 
 namespace samphire {
 
-// Finds the region that serves a request, and gives its caller one final
-// answer.
+// Chooses the regions for a request, tries them in turn, and sends its caller
+// exactly one final response. Thread-safe; Route is called by the thread of
+// each request.
 class request_router {
  public:
+  // `local` serves requests in the own region, `remote` in all others.
   request_router(std::string own_region,
                  region_server& local,
                  region_server& remote,
@@ -24,16 +26,18 @@
                  const clock_source& clock,
                  metrics& counters);
 
+  // Blocks until the response or refusal was sent to `sink`.
   void Route(const caller_request& request,
              const caller_watch& caller,
-             answer_sink& sink);
+             response_sink& sink);
 
  private:
+  // Returns the regions to try, in order.
   std::vector<std::string> RegionsFor(const caller_request& request);
-  serve_end ServeIn(const std::string& region,
-                    const caller_request& request,
-                    const caller_watch& caller,
-                    answer_sink& sink);
+  serve_result ServeIn(const std::string& region,
+                       const caller_request& request,
+                       const caller_watch& caller,
+                       response_sink& sink);
 
   const std::string own_region_;
   region_server& local_;
--- a/src/libsamphire/gateway/service_gate.cc
+++ b/src/libsamphire/gateway/service_gate.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-// How often a waiting thread looks whether its caller has left. A caller that
-// left keeps its place in the queue for this long at most.
-constexpr milliseconds kCallerCheck{20};
+// How often a waiting thread checks whether its caller has disconnected; a
+// disconnected caller keeps its place in the queue for this long at most.
+constexpr milliseconds kCallerCheckInterval{20};
 
 }  // namespace
 
@@ -42,7 +42,7 @@
     const auto found = waiters_.find(each.request_id);
     if (found == waiters_.end())
       continue;
-    found->second->fate = each.result;
+    found->second->resolution = each.result;
     found->second->wake.notify_one();
   }
 }
@@ -53,13 +53,13 @@
   return std::move(step.messages);
 }
 
-slot_wait service_gate::Acquire(const admission_request& request,
-                                const caller_watch& caller) {
+slot_wait_result service_gate::Acquire(const admission_request& request,
+                                       const caller_watch& caller) {
   waiter self;
   loan_outbox messages;
   std::unique_lock guard(lock_);
   const auto now = clock_.now();
-  // Registered first: following the loans may already decide its fate.
+  // Registered first, because advancing the loans may already resolve it.
   waiters_[request.id] = &self;
   const auto decision = dispatcher_.Submit(request, now);
   messages = FollowLoans(now);
@@ -68,7 +68,7 @@
     sink_(messages);
     guard.lock();
   }
-  slot_wait end = caller_left{};
+  slot_wait_result end = caller_disconnected{};
   if (const auto* grant = std::get_if<slot_grant>(&decision))
     end = *grant;
   else if (const auto* refused = std::get_if<refusal>(&decision))
@@ -79,24 +79,25 @@
   return end;
 }
 
-slot_wait service_gate::Await(std::unique_lock<std::mutex>& guard,
-                              waiter& self,
-                              std::uint64_t request_id,
-                              const caller_watch& caller) {
-  const auto ready = [&self] { return self.fate.has_value(); };
-  while (!self.wake.wait_for(guard, kCallerCheck, ready)) {
+slot_wait_result service_gate::Await(std::unique_lock<std::mutex>& guard,
+                                     waiter& self,
+                                     std::uint64_t request_id,
+                                     const caller_watch& caller) {
+  const auto ready = [&self] { return self.resolution.has_value(); };
+  while (!self.wake.wait_for(guard, kCallerCheckInterval, ready)) {
     if (caller.IsDisconnected())
-      return GiveUp(request_id);
+      return CancelWait(request_id);
   }
-  return std::visit([](const auto& fate) { return slot_wait(fate); },
-                    *self.fate);
+  return std::visit(
+      [](const auto& resolution) { return slot_wait_result(resolution); },
+      *self.resolution);
 }
 
-// Called under the lock, since the last look at the waiter's fate: no slot can
-// have been given to it in between and be lost.
-slot_wait service_gate::GiveUp(std::uint64_t request_id) {
+// Called under the lock that has been held since the resolution was last
+// checked, so no slot can have been granted in between and be lost.
+slot_wait_result service_gate::CancelWait(std::uint64_t request_id) {
   Deliver(dispatcher_.Cancel(request_id, clock_.now()).wakeups);
-  return caller_left{};
+  return caller_disconnected{};
 }
 
 void service_gate::Finish(const slot_grant& grant,
@@ -156,7 +157,7 @@
   return dispatcher_.status(clock_.now());
 }
 
-std::uint32_t service_gate::over_owned() const {
+std::uint32_t service_gate::excess_slot_count() const {
   std::lock_guard guard(lock_);
   return dispatcher_.excess_slots();
 }
--- a/src/libsamphire/gateway/service_handler.cc
+++ b/src/libsamphire/gateway/service_handler.cc
@@ -4,13 +4,14 @@
 
 #include "base/log.h"
 #include "front/header_names.h"
-#include "gateway/caller_answer.h"
+#include "gateway/caller_response.h"
 #include "gateway/request_reader.h"
 
 namespace samphire {
 
 namespace {
 
+// Retry delay that is sent to the caller with a refusal.
 constexpr milliseconds kRetryAfter{1000};
 
 }  // namespace
@@ -21,7 +22,7 @@
 void service_handler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                     Poco::Net::HTTPServerResponse& response) {
   auto& whole = static_cast<front_request&>(request);
-  caller_answer sink(request, response);
+  caller_response sink(request, response);
   auto read = Read(whole);
   if (!read) {
     if (!whole.IsFullyRead())
@@ -41,13 +42,15 @@
   const auto home =
       from_peer_ ? request.get(kHeaderHomeRegion, "") : std::string();
   if (from_peer_ && home.empty())
-    return MakeError(result_code::kMalformedRequest, "no home region");
+    return MakeError(result_code::kMalformedRequest,
+                     "forwarded request has no home region header");
   const auto body_limit = present->declared().limits.max_body_bytes;
   BOOST_OUTCOME_TRY(read,
                     ReadRequestHead(request, std::move(present), home, now));
-  // An entry that has been cut off can't know that a class or a drain has not
-  // changed meanwhile. Readings go on, since they carry their own age; what
-  // may not be repeated waits or goes to another entry.
+  // An entry that has been cut off can't know whether a class or a drain has
+  // changed meanwhile. Requests that may be repeated, such as readings, are
+  // still served, since readings carry their own age; others are refused and
+  // must wait or go to another entry.
   if (!read.request_class->repeatable && !context_.state.fresh)
     return MakeError(result_code::kConfigurationTooOld);
   BOOST_OUTCOME_TRY(
@@ -66,7 +69,7 @@
       .request_target = request.getURI(),
       .receiver_address = context_.peer_address,
       .signed_content =
-          PassedContent(read.home_region, read.idempotency_key, read.body)};
+          ForwardedContent(read.home_region, read.idempotency_key, read.body)};
   auto sender =
       context_.signer.Verify(signed_part, request.get(kPeerTokenHeader, ""));
   if (!sender)
@@ -74,7 +77,7 @@
   return Success();
 }
 
-void service_handler::Refuse(answer_sink& sink, const error& why) {
+void service_handler::Refuse(response_sink& sink, const error& why) {
   context_.counters.CountRefusal(why.code);
   Log(log_level::kDebug, "refused-unread",
       {{"code", static_cast<int>(why.code)},
--- a/src/libsamphire/gateway/guarded_quarantine.cc
+++ b/src/libsamphire/gateway/synchronized_quarantine.cc
@@ -1,4 +1,4 @@
-#include "gateway/guarded_quarantine.h"
+#include "gateway/synchronized_quarantine.h"
 
 #include <optional>
 #include <utility>
@@ -7,30 +7,31 @@
 
 namespace samphire {
 
-guarded_quarantine::guarded_quarantine(const clock_source& clock,
-                                       notice_sink sink)
+synchronized_quarantine::synchronized_quarantine(const clock_source& clock,
+                                                 notice_sink sink)
     : clock_(clock), sink_(std::move(sink)) {}
 
-quarantine_decision guarded_quarantine::Judge(request_fingerprint fingerprint) {
+quarantine_decision synchronized_quarantine::DecisionFor(
+    request_fingerprint fingerprint) {
   std::lock_guard guard(lock_);
   return quarantine_.Decide(fingerprint, clock_.now());
 }
 
-std::vector<std::string> guarded_quarantine::LostWith(
+std::vector<std::string> synchronized_quarantine::LostTargets(
     request_fingerprint fingerprint) {
   std::lock_guard guard(lock_);
   return quarantine_.TargetsLostWith(fingerprint, clock_.now());
 }
 
-void guarded_quarantine::Started(request_fingerprint fingerprint,
-                                 const std::string& target) {
+void synchronized_quarantine::AttemptStarted(request_fingerprint fingerprint,
+                                             const std::string& target) {
   std::lock_guard guard(lock_);
   quarantine_.OnAttemptStarted(fingerprint, target);
 }
 
-void guarded_quarantine::Finished(request_fingerprint fingerprint,
-                                  const std::string& target,
-                                  attempt_outcome outcome) {
+void synchronized_quarantine::AttemptFinished(request_fingerprint fingerprint,
+                                              const std::string& target,
+                                              attempt_outcome outcome) {
   std::optional<crash_notice> notice;
   {
     std::lock_guard guard(lock_);
@@ -44,21 +45,21 @@
        {"fingerprint", std::to_string(fingerprint)},
        {"alone", notice->alone},
        {"quarantined",
-        Judge(fingerprint) == quarantine_decision::kQuarantined}});
+        DecisionFor(fingerprint) == quarantine_decision::kQuarantined}});
   sink_(*notice);
 }
 
-void guarded_quarantine::OnNotice(const crash_notice& notice) {
+void synchronized_quarantine::OnNotice(const crash_notice& notice) {
   std::lock_guard guard(lock_);
   quarantine_.OnNotice(notice, clock_.now());
 }
 
-std::size_t guarded_quarantine::quarantined() const {
+std::size_t synchronized_quarantine::quarantined() const {
   std::lock_guard guard(lock_);
   return quarantine_.quarantined();
 }
 
-std::uint64_t guarded_quarantine::targets_lost() const {
+std::uint64_t synchronized_quarantine::targets_lost() const {
   std::lock_guard guard(lock_);
   return quarantine_.targets_lost();
 }
--- a/src/libsamphire/gateway/target_request.h
+++ b/src/libsamphire/gateway/target_request.h
@@ -9,8 +9,9 @@
 
 namespace samphire {
 
-// The request as a target gets it: the caller's, less what belongs to its
-// connection, with the time that is left.
+// Returns the request as a target gets it: the caller's, without the headers of
+// its connection, with the remaining time in milliseconds, at least 1, as its
+// deadline. Refers to the body of `request`, which must outlive it.
 outgoing_request MakeTargetRequest(const caller_request& request,
                                    const std::string& address,
                                    time_point now);
--- a/src/libsamphire/gateway/text_handler.h
+++ b/src/libsamphire/gateway/text_handler.h
@@ -13,11 +13,14 @@
 
 namespace samphire {
 
-// Answers with a text made for the occasion.
+// Responds with a text that is generated for each request, on its connection's
+// thread.
 class text_handler final : public Poco::Net::HTTPRequestHandler {
  public:
+  // Returns the response body.
   using text_source = std::function<std::string()>;
 
+  // `status` is the HTTP status of the response.
   text_handler(std::string content_type, text_source source, int status = 200)
       : content_type_(std::move(content_type)),
         source_(std::move(source)),
--- a/src/libsamphire/traffic/target_exchange.cc
+++ b/src/libsamphire/traffic/target_exchange.cc
@@ -6,8 +6,8 @@
 #include <sstream>
 #include <utility>
 
-#include "gateway/answer_stream.h"
 #include "gateway/header_copy.h"
+#include "gateway/response_stream.h"
 
 namespace samphire {
 
@@ -47,7 +47,7 @@
 target_exchange::target_exchange(const traffic_context& context,
                                  const traffic_request& request,
                                  const caller_watch& caller,
-                                 answer_sink& sink)
+                                 response_sink& sink)
     : context_(context), request_(request), caller_(caller), sink_(sink) {}
 
 // A request that must not be repeated, or can't be because its body is not
@@ -170,7 +170,7 @@
   }
   end.attempt.body_bytes = request_.body_bytes() + body.size();
   if (end.may_have_run && end.reason == result_code::kOk)
-    end.response = held_answer{head, std::move(body)};
+    end.response = buffered_response{head, std::move(body)};
 }
 
 // Only an explicit statement of the target that it did not run the request
@@ -214,7 +214,7 @@
   end.attempt.body_bytes =
       request_.body_bytes() + std::max<std::uint64_t>(declared, first.size());
   const auto streamed =
-      StreamAnswer(exchange, head, first, response_status{}, sink_);
+      StreamResponse(exchange, head, first, response_status{}, sink_);
   if (streamed.code != result_code::kOk)
     Fail(streamed.code, end);
 }
--- a/src/libsamphire/traffic/target_exchange.h
+++ b/src/libsamphire/traffic/target_exchange.h
@@ -3,7 +3,7 @@
 
 #include <Poco/Net/HTTPRequest.h>
 
-#include "gateway/answer_sink.h"
+#include "gateway/response_sink.h"
 #include "proxy/caller_watch.h"
 #include "proxy/http_exchange.h"
 #include "traffic/target_exchange_end.h"
@@ -21,7 +21,7 @@
   target_exchange(const traffic_context& context,
                   const traffic_request& request,
                   const caller_watch& caller,
-                  answer_sink& sink);
+                  response_sink& sink);
 
   // Makes one attempt at the target. Blocks until the response was received or
   // streamed, the attempt failed or the request's deadline passed.
@@ -50,7 +50,7 @@
   const traffic_context& context_;
   const traffic_request& request_;
   const caller_watch& caller_;
-  answer_sink& sink_;
+  response_sink& sink_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/target_exchange_end.h
+++ b/src/libsamphire/traffic/target_exchange_end.h
@@ -4,7 +4,7 @@
 #include <optional>
 
 #include "base/result_code.h"
-#include "gateway/held_answer.h"
+#include "gateway/buffered_response.h"
 #include "routing/attempt_end.h"
 
 namespace samphire {
@@ -25,7 +25,7 @@
   // HTTP status of the streamed response.
   int streamed_status = 0;
   // A complete response that has not been forwarded to the caller yet.
-  std::optional<held_answer> response;
+  std::optional<buffered_response> response;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/traffic_dispatcher.cc
+++ b/src/libsamphire/traffic/traffic_dispatcher.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "base/log.h"
-#include "gateway/answer_relay.h"
+#include "gateway/response_relay.h"
 #include "traffic/target_exchange.h"
 
 namespace samphire {
@@ -35,7 +35,7 @@
 traffic_dispatcher::traffic_dispatcher(traffic_context& context,
                                        const traffic_request& request,
                                        const caller_watch& caller,
-                                       answer_sink& sink)
+                                       response_sink& sink)
     : context_(context),
       request_(request),
       caller_(caller),
@@ -183,7 +183,7 @@
     end.response = std::move(failure_);
   if (end.response) {
     LogOutcome(result_code::kOk, end.response->head.getStatus());
-    SendHeld(sink_, *end.response, response_status{});
+    SendBuffered(sink_, *end.response, response_status{});
     return;
   }
   Refuse(end.reason, kFailureRetryAfter);
--- a/src/libsamphire/traffic/traffic_dispatcher.h
+++ b/src/libsamphire/traffic/traffic_dispatcher.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "gateway/answer_sink.h"
+#include "gateway/response_sink.h"
 #include "proxy/caller_watch.h"
 #include "routing/placement_result.h"
 #include "traffic/placed_request.h"
@@ -24,7 +24,7 @@
   traffic_dispatcher(traffic_context& context,
                      const traffic_request& request,
                      const caller_watch& caller,
-                     answer_sink& sink);
+                     response_sink& sink);
 
   // Blocks until the request is finished.
   void Run();
@@ -62,7 +62,7 @@
   traffic_context& context_;
   const traffic_request& request_;
   const caller_watch& caller_;
-  answer_sink& sink_;
+  response_sink& sink_;
   request_placer placer_;
   // A granted permit that no run has used yet.
   std::optional<team_permit> permit_;
@@ -74,7 +74,7 @@
   bool may_have_run_ = false;
   // The last error response of a target, which is forwarded if no other attempt
   // succeeds.
-  std::optional<held_answer> failure_;
+  std::optional<buffered_response> failure_;
 };
 
 }  // namespace samphire
--- a/src/libsamphire/traffic/traffic_handler.cc
+++ b/src/libsamphire/traffic/traffic_handler.cc
@@ -4,7 +4,7 @@
 
 #include "base/log.h"
 #include "front/front_request.h"
-#include "gateway/caller_answer.h"
+#include "gateway/caller_response.h"
 #include "traffic/traffic_dispatcher.h"
 #include "traffic/traffic_request_reader.h"
 
@@ -22,7 +22,7 @@
 void traffic_handler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                     Poco::Net::HTTPServerResponse& response) {
   auto& incoming = static_cast<front_request&>(request);
-  caller_answer sink(request, response, note_headers::kOnRefusals);
+  caller_response sink(request, response, note_headers::kOnRefusals);
   const auto read = ReadTrafficRequest(incoming, context_);
   if (!read) {
     if (!incoming.IsFullyRead())
@@ -38,7 +38,7 @@
   traffic_dispatcher(context_, read.value(), caller, sink).Run();
 }
 
-void traffic_handler::Refuse(answer_sink& sink,
+void traffic_handler::Refuse(response_sink& sink,
                              const std::string& id,
                              const error& why) const {
   context_.counters.CountRefusal(why.code);
--- a/src/libsamphire/traffic/traffic_handler.h
+++ b/src/libsamphire/traffic/traffic_handler.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "base/error.h"
-#include "gateway/answer_sink.h"
+#include "gateway/response_sink.h"
 #include "traffic/traffic_context.h"
 
 namespace samphire {
@@ -27,7 +27,9 @@
  private:
   // Refuses a request that could not be read or routed. `id` is the request's
   // id.
-  void Refuse(answer_sink& sink, const std::string& id, const error& why) const;
+  void Refuse(response_sink& sink,
+              const std::string& id,
+              const error& why) const;
 
   traffic_context& context_;
 };
--- a/tests/gateway/region_choice_test.cc
+++ b/tests/gateway/region_choice_test.cc
@@ -10,7 +10,7 @@
 
 using namespace samphire;
 
-TEST_CASE("the nearest region that can be reached comes first") {
+TEST_CASE("the nearest reachable region comes first") {
   CHECK(ChooseRegions({{.name = "home", .own = true}, {.name = "next"}}) ==
         std::vector<std::string>{"home"});
   CHECK(ChooseRegions({{.name = "dark"},
@@ -20,20 +20,20 @@
   CHECK(ChooseRegions({{.name = "dark"}}).empty());
 }
 
-TEST_CASE("a second region is tried only where there is room, a third never") {
-  // In a downpour every region is full. Requests that try one after the other
-  // would multiply the load on all of them.
-  CHECK(
-      ChooseRegions({{.name = "home", .own = true},
-                     {.name = "full", .reachable = true},
-                     {.name = "free", .reachable = true, .has_room = true},
-                     {.name = "more", .reachable = true, .has_room = true}}) ==
-      std::vector<std::string>{"home", "free"});
+TEST_CASE("a second region is tried only if it has free slots, a third never") {
+  // Guards against load multiplication: in a heavy rain every region is full,
+  // and requests that tried one after the other would load all of them.
+  CHECK(ChooseRegions(
+            {{.name = "home", .own = true},
+             {.name = "full", .reachable = true},
+             {.name = "free", .reachable = true, .has_free_slots = true},
+             {.name = "more", .reachable = true, .has_free_slots = true}}) ==
+        std::vector<std::string>{"home", "free"});
 }
 
-TEST_CASE("only what surely did not run is shifted") {
-  // A claim whose entry was lost may be running there. Sent to another region
-  // it could be paid twice.
+TEST_CASE("only requests that certainly did not run are shifted") {
+  // Guards against running a request twice: a claim whose entry was lost may
+  // still be running there, and could be paid twice if it were shifted.
   CHECK(MayShift({.code = result_code::kQueueFull}));
   CHECK_FALSE(
       MayShift({.code = result_code::kQueueFull, .run = run_state::kUnknown}));
@@ -43,7 +43,7 @@
   CHECK_FALSE(MayShift({.code = result_code::kKeyReused}));
 }
 
-TEST_CASE("what one entry says of a request another entry reads") {
+TEST_CASE("an entry reads the note that another entry wrote") {
   Poco::Net::HTTPResponse head;
   const response_status note{.code = result_code::kQueueFull,
                              .run = run_state::kNotRun,
@@ -56,13 +56,13 @@
   CHECK(read->run == note.run);
   CHECK(read->config_version == note.config_version);
   CHECK(read->retry_after == note.retry_after);
-  CHECK_FALSE(IsAnswer(*read));
+  CHECK_FALSE(IsTargetResponse(*read));
   CHECK_FALSE(ReadNote(Poco::Net::HTTPResponse()));
   head.set("Samphirewinch-Run", "perhaps");
   CHECK_FALSE(ReadNote(head));
 }
 
-TEST_CASE("a target can't speak in the entry's name, nor for the connection") {
+TEST_CASE("a target's hop-by-hop and entry headers are not copied") {
   Poco::Net::HTTPResponse from;
   from.set("Samphirewinch-Run", "not-run");
   from.set("Connection", "X-Private, close");
--- a/tests/gateway/service_gate_test.cc
+++ b/tests/gateway/service_gate_test.cc
@@ -17,12 +17,12 @@
 
 constexpr std::uint32_t kSlots = 3;
 
-struct gate_rig {
+struct gate_fixture {
   system_clock_source clock;
   service declared;
   boost::intrusive_ptr<service_gate> gate;
 
-  gate_rig() {
+  gate_fixture() {
     declared.name = "s";
     declared.classes.push_back({.name = "read",
                                 .method = "GET",
@@ -52,18 +52,19 @@
 
 }  // namespace
 
-TEST_CASE("threads share a gate and never hold more than its slots") {
-  gate_rig rig;
+TEST_CASE("threads that share a gate never hold more than its slots") {
+  gate_fixture fixture;
   std::atomic<int> running{0};
   std::atomic<int> most{0};
   std::atomic<int> served{0};
-  const caller_watch nobody;
+  const caller_watch no_caller;
   std::vector<std::thread> threads;
   threads.reserve(8);
   for (std::uint64_t t = 0; t < 8; ++t) {
     threads.emplace_back([&, t] {
       for (std::uint64_t i = 0; i < 50; ++i) {
-        const auto end = rig.gate->Acquire(rig.Request(t * 1000 + i), nobody);
+        const auto end =
+            fixture.gate->Acquire(fixture.Request(t * 1000 + i), no_caller);
         const auto* grant = std::get_if<slot_grant>(&end);
         if (grant == nullptr)
           continue;
@@ -73,7 +74,7 @@
         }
         --running;
         ++served;
-        rig.gate->Finish(*grant, attempt_outcome::kOk, 1ms);
+        fixture.gate->Finish(*grant, attempt_outcome::kOk, 1ms);
       }
     });
   }
@@ -81,43 +82,44 @@
     each.join();
   CHECK(most <= static_cast<int>(kSlots));
   CHECK(served == 400);
-  CHECK(rig.gate->status().in_flight == 0);
+  CHECK(fixture.gate->status().in_flight == 0);
 }
 
-TEST_CASE("a caller that leaves the queue gives up its place") {
-  // All slots are busy and a caller closes the page while it waits. Its place
-  // must not be served later, when nobody is there to take the answer.
-  gate_rig rig;
-  const caller_watch nobody;
+TEST_CASE("a caller that disconnects loses its place in the queue") {
+  // Guards against slots granted to callers that have gone: all slots are busy
+  // and a caller closes the page while it waits. Its request must not be served
+  // later, when nobody reads the response.
+  gate_fixture fixture;
+  const caller_watch no_caller;
   std::vector<slot_grant> held;
   held.reserve(kSlots);
   for (std::uint64_t id = 1; id <= kSlots; ++id) {
-    held.push_back(
-        std::get<slot_grant>(rig.gate->Acquire(rig.Request(id), nobody)));
+    held.push_back(std::get<slot_grant>(
+        fixture.gate->Acquire(fixture.Request(id), no_caller)));
   }
   Poco::Net::ServerSocket port(Poco::Net::SocketAddress("127.0.0.1:0"));
   Poco::Net::StreamSocket caller(port.address());
   const caller_watch watch(port.acceptConnection());
   caller.close();
-  const auto end = rig.gate->Acquire(rig.Request(99), watch);
-  CHECK(std::holds_alternative<caller_left>(end));
+  const auto end = fixture.gate->Acquire(fixture.Request(99), watch);
+  CHECK(std::holds_alternative<caller_disconnected>(end));
   for (const auto& each : held)
-    rig.gate->Finish(each, attempt_outcome::kOk, 1ms);
-  CHECK(rig.gate->status().in_flight == 0);
-  CHECK(rig.gate->status().free == kSlots);
+    fixture.gate->Finish(each, attempt_outcome::kOk, 1ms);
+  CHECK(fixture.gate->status().in_flight == 0);
+  CHECK(fixture.gate->status().free == kSlots);
 }
 
-TEST_CASE("work on a seat that was given up is seen until it ends") {
-  gate_rig rig;
-  const caller_watch nobody;
-  const auto grant =
-      std::get<slot_grant>(rig.gate->Acquire(rig.Request(1), nobody));
-  CHECK(rig.gate->over_owned() == 0);
-  rig.gate->SetOwnedSlots({{"w1", 0}});
-  CHECK(rig.gate->over_owned() == 1);
-  rig.gate->SetClosedTargets({"w1"});
-  CHECK(rig.gate->draining() == std::set<std::string>{"w1"});
-  rig.gate->Finish(grant, attempt_outcome::kOk, 1ms);
-  CHECK(rig.gate->over_owned() == 0);
-  CHECK(rig.gate->draining().empty());
+TEST_CASE("work on a released partition is counted until it ends") {
+  gate_fixture fixture;
+  const caller_watch no_caller;
+  const auto grant = std::get<slot_grant>(
+      fixture.gate->Acquire(fixture.Request(1), no_caller));
+  CHECK(fixture.gate->excess_slot_count() == 0);
+  fixture.gate->SetOwnedSlots({{"w1", 0}});
+  CHECK(fixture.gate->excess_slot_count() == 1);
+  fixture.gate->SetClosedTargets({"w1"});
+  CHECK(fixture.gate->draining() == std::set<std::string>{"w1"});
+  fixture.gate->Finish(grant, attempt_outcome::kOk, 1ms);
+  CHECK(fixture.gate->excess_slot_count() == 0);
+  CHECK(fixture.gate->draining().empty());
 }
