--- a/src/check/declared_caps.cc
+++ b/src/check/declared_caps.cc
@@ -7,6 +7,7 @@
 
 namespace {
 
+// Upper bound of the size of a declaration file; a larger one is an error.
 constexpr std::size_t kMaxFileBytes = 16 << 20;
 
 }  // namespace
--- a/src/check/declared_caps.h
+++ b/src/check/declared_caps.h
@@ -9,7 +9,9 @@
 
 namespace samphire {
 
-// The shift caps of a declaration file as events.
+// Reads the declaration file at `path` and returns each of its shift caps as a
+// cap_declared event with time 0. Fails when the file cannot be read or is
+// larger than 16 MiB, and when the declaration is invalid.
 result<std::vector<history_event>> ReadDeclaredCaps(const std::string& path);
 
 }  // namespace samphire
--- a/src/check/main.cc
+++ b/src/check/main.cc
@@ -15,31 +15,45 @@
 #include "history/history_measures.h"
 #include "history/history_reader.h"
 
-ABSL_FLAG(std::string, declaration, "", "take the shift caps from this file");
+ABSL_FLAG(std::string,
+          declaration,
+          "",
+          "declaration file that the shift caps are read from");
 ABSL_FLAG(std::vector<std::string>,
           require,
           {},
-          "RULE,...: broken as well when these could not be judged");
-ABSL_FLAG(std::uint32_t, leaving_ms, 3000, "longest from leaving to no work");
+          "RULE,...: rules that must have judged something; exit 1 otherwise");
+ABSL_FLAG(std::uint32_t,
+          leaving_ms,
+          3000,
+          "max. time from a target's drain to its last new run");
 ABSL_FLAG(std::uint32_t,
           in_force_ms,
           9000,
-          "longest from accepted to in force");
-ABSL_FLAG(std::uint32_t, at_once_ms, 250, "longest until a refusal");
-ABSL_FLAG(std::uint32_t, findings, 5, "how many findings of a rule are shown");
+          "max. time from acceptance of a configuration until it is in force");
+ABSL_FLAG(std::uint32_t, at_once_ms, 250, "max. time until a refusal is sent");
+ABSL_FLAG(std::uint32_t,
+          findings,
+          5,
+          "max. number of findings printed for each rule");
 
 namespace samphire {
 namespace {
 
-constexpr int kBrokenExitCode = 1;
+// A rule is violated, or a required rule judged nothing.
+constexpr int kViolationExitCode = 1;
+// No file is named, or a file cannot be read.
 constexpr int kUsageExitCode = 2;
 
+// Returns the time limits that the flags set.
 history_limits Limits() {
-  return {.leaving = milliseconds(absl::GetFlag(FLAGS_leaving_ms)),
-          .in_force = milliseconds(absl::GetFlag(FLAGS_in_force_ms)),
-          .at_once = milliseconds(absl::GetFlag(FLAGS_at_once_ms))};
+  return {.leaving_limit = milliseconds(absl::GetFlag(FLAGS_leaving_ms)),
+          .config_limit = milliseconds(absl::GetFlag(FLAGS_in_force_ms)),
+          .refusal_limit = milliseconds(absl::GetFlag(FLAGS_at_once_ms))};
 }
 
+// Returns the shift caps of the declaration, if one is named, followed by the
+// events of all histories in order of time.
 result<std::vector<history_event>> ReadAll(
     const std::vector<std::string>& paths) {
   std::vector<history_event> events;
@@ -60,7 +74,7 @@
   const auto shown = std::min<std::size_t>(verdict.findings.size(),
                                            absl::GetFlag(FLAGS_findings));
   for (std::size_t i = 0; i < shown; ++i) {
-    fmt::print("  {}\n", verdict.findings[i].why);
+    fmt::print("  {}\n", verdict.findings[i].message);
     for (const auto& event : verdict.findings[i].events)
       fmt::print("    {}\n", EncodeEvent(event));
   }
@@ -68,19 +82,19 @@
 
 void Print(const history_measures& measures) {
   for (const auto& region : measures.headroom) {
-    fmt::print("headroom {}: {} of {} slots free at the busiest moment\n",
-               region.region, region.slots - region.peak_in_flight,
-               region.slots);
+    fmt::print("headroom {}: {} of {} slots free at peak load\n", region.region,
+               region.slots - region.peak_in_flight, region.slots);
   }
   for (const auto& drain : measures.drains) {
     fmt::print("drain {}: {}\n", drain.target,
                drain.time
                    ? fmt::format("{:.1f} ms", drain.time->count() / 1000.0)
-                   : std::string("a run never ended"));
+                   : std::string("not measured, a run has no recorded end"));
   }
 }
 
-// Whether a rule that must say something said nothing.
+// Prints each rule named by --require that is unknown or judged nothing, and
+// returns whether there is one.
 bool MissesRequired(const std::vector<rule_verdict>& verdicts) {
   bool misses = false;
   for (const auto& rule : absl::GetFlag(FLAGS_require)) {
@@ -88,7 +102,7 @@
         std::find_if(verdicts.begin(), verdicts.end(),
                      [&](const auto& verdict) { return verdict.rule == rule; });
     if (found == verdicts.end() || found->judged == 0) {
-      fmt::print("required, but not judged: {}\n", rule);
+      fmt::print("required rule judged nothing: {}\n", rule);
       misses = true;
     }
   }
@@ -108,20 +122,22 @@
     Print(verdict);
   Print(MeasureHistory(history_index(events.value())));
   const bool misses = MissesRequired(verdicts);
-  return AnyBroken(verdicts) || misses ? kBrokenExitCode : 0;
+  return AnyViolated(verdicts) || misses ? kViolationExitCode : 0;
 }
 
 }  // namespace
 }  // namespace samphire
 
 int main(int argc, char** argv) {
-  absl::SetProgramUsageMessage("Judges histories: samphire-check FILE...");
+  absl::SetProgramUsageMessage(
+      "Checks recorded histories against the system's guarantees: "
+      "samphire-check FILE...");
   const auto arguments = absl::ParseCommandLine(argc, argv);
   samphire::ConfigureLog("samphire-check", samphire::log_level::kInfo);
   const std::vector<std::string> paths(arguments.begin() + 1, arguments.end());
   if (paths.empty()) {
     samphire::Log(samphire::log_level::kError, "usage",
-                  {{"detail", "name at least one history"}});
+                  {{"detail", "no history file given"}});
     return samphire::kUsageExitCode;
   }
   return samphire::Run(paths);
--- a/src/ctl/explain_command.cc
+++ b/src/ctl/explain_command.cc
@@ -4,7 +4,7 @@
 
 #include "ctl/commands.h"
 #include "ctl/log_files.h"
-#include "history/log_story.h"
+#include "history/request_trace.h"
 
 namespace samphire {
 
@@ -13,7 +13,7 @@
   auto files = context.arguments;
   const auto request = files.back();
   files.pop_back();
-  log_story story(request);
+  request_trace story(request);
   const auto read =
       ReadLogFiles(files, [&](std::string_view line) { story.Read(line); });
   if (!read)
--- a/src/ctl/losses_command.cc
+++ b/src/ctl/losses_command.cc
@@ -1,11 +1,11 @@
 #include "ctl/commands.h"
 #include "ctl/log_files.h"
-#include "history/log_losses.h"
+#include "history/loss_summary.h"
 
 namespace samphire {
 
 exit_code SummarizeLosses(command_context& context) {
-  log_losses losses;
+  loss_summary losses;
   const auto read = ReadLogFiles(
       context.arguments, [&](std::string_view line) { losses.Read(line); });
   if (!read)
--- a/src/libsamphire/experiment/schedule.cc
+++ b/src/libsamphire/experiment/arrival_schedule.cc
@@ -1,4 +1,4 @@
-#include "experiment/schedule.h"
+#include "experiment/arrival_schedule.h"
 
 #include <algorithm>
 #include <random>
@@ -7,13 +7,13 @@
 
 namespace {
 
-// Adds the arrivals of one stretch of constant rate. The process has no
-// memory, so that each stretch may start anew.
-void AddStretch(duration from,
-                duration to,
-                double per_second,
-                std::mt19937_64& random,
-                std::vector<duration>& times) {
+// Appends the arrivals of a Poisson process of constant rate in [from, to). The
+// process is memoryless, so that each interval can be generated independently.
+void AddConstantRateArrivals(duration from,
+                             duration to,
+                             double per_second,
+                             std::mt19937_64& random,
+                             std::vector<duration>& times) {
   if (per_second <= 0)
     return;
   std::exponential_distribution<double> gap(per_second);
@@ -27,17 +27,18 @@
   }
 }
 
-std::vector<duration> TimesOf(const request_stream& stream,
-                              duration run_time,
-                              std::mt19937_64& random) {
+// Returns the arrival times of one stream, which follow its rate steps.
+std::vector<duration> ArrivalTimes(const request_stream& stream,
+                                   duration run_time,
+                                   std::mt19937_64& random) {
   std::vector<duration> times;
   for (std::size_t i = 0; i < stream.rates.size(); ++i) {
     const duration end =
         i + 1 < stream.rates.size()
             ? std::min<duration>(stream.rates[i + 1].at, run_time)
             : run_time;
-    AddStretch(stream.rates[i].at, end, stream.rates[i].per_second, random,
-               times);
+    AddConstantRateArrivals(stream.rates[i].at, end, stream.rates[i].per_second,
+                            random, times);
   }
   return times;
 }
@@ -54,7 +55,7 @@
   std::uniform_real_distribution<double> uniform(0, 1);
   std::vector<arrival> arrivals;
   for (std::uint32_t i = 0; i < plan.streams.size(); ++i) {
-    for (const auto at : TimesOf(plan.streams[i], plan.run_time, random)) {
+    for (const auto at : ArrivalTimes(plan.streams[i], plan.run_time, random)) {
       const auto group = draw_group(random);
       const auto sources = plan.callers[group].sources.size();
       arrivals.push_back(
--- a/src/libsamphire/experiment/body_check.cc
+++ b/src/libsamphire/experiment/body_check.cc
@@ -4,8 +4,10 @@
 
 namespace {
 
-// A first line longer than any that a target writes is none.
-constexpr std::size_t kMaxFirstLine = 4096;
+// Bounds the bytes that are buffered while the end of the first line is
+// missing. Longer than any first line that a target writes; a longer one is
+// corrupt.
+constexpr std::size_t kMaxFirstLineBytes = 4096;
 
 }  // namespace
 
@@ -16,7 +18,7 @@
   }
   const auto end = bytes.find('\n');
   first_line_ += bytes.substr(0, end);
-  if (first_line_.size() > kMaxFirstLine)
+  if (first_line_.size() > kMaxFirstLineBytes)
     corrupt_ = true;
   if (end == std::string_view::npos || corrupt_)
     return;
@@ -33,13 +35,14 @@
   filler_ += bytes.size();
 }
 
-answer_body body_check::Verdict(bool framing_whole) const {
+answer_body body_check::Verdict(bool framing_complete) const {
   const bool complete = header_ && !corrupt_ &&
                         filler_ == static_cast<std::uint64_t>(header_->bytes);
-  if (complete && framing_whole)
-    return answer_body::kWhole;
-  // Wrong bytes are worse than missing ones: a caller may have used them.
-  if (framing_whole || corrupt_)
+  if (complete && framing_complete)
+    return answer_body::kComplete;
+  // Corrupt takes precedence over truncated: a caller can detect missing bytes,
+  // but may already have used wrong ones.
+  if (framing_complete || corrupt_)
     return answer_body::kCorrupt;
   return answer_body::kTruncated;
 }
--- a/src/libsamphire/experiment/body_check.h
+++ b/src/libsamphire/experiment/body_check.h
@@ -11,14 +11,19 @@
 
 namespace samphire {
 
-// Judges the bytes of an answer as they arrive, without keeping them.
+// Validates the body of a target's answer (see echo_header) as it arrives;
+// keeps only the first line, not the filler bytes. One object checks one body.
+// Not synchronized: used by one thread at a time.
 class body_check {
  public:
+  // Takes the next bytes of the body, in pieces of any size.
   void Add(std::string_view bytes);
 
-  // What the bytes so far are. `framing_whole` says that HTTP's own framing
-  // (length or last chunk) was complete.
-  answer_body Verdict(bool framing_whole) const;
+  // Classifies the bytes received so far as complete, truncated or corrupt.
+  // `framing_complete` says that HTTP's own framing (length or last chunk) was
+  // complete.
+  answer_body Verdict(bool framing_complete) const;
+  // The decoded first line; empty until it has arrived, or if it is invalid.
   const std::optional<echo_header>& header() const { return header_; }
 
  private:
@@ -26,6 +31,7 @@
 
   std::string first_line_;
   std::optional<echo_header> header_;
+  // Filler bytes received so far.
   std::uint64_t filler_ = 0;
   bool corrupt_ = false;
 };
--- a/src/libsamphire/experiment/caller_group.h
+++ b/src/libsamphire/experiment/caller_group.h
@@ -6,12 +6,14 @@
 
 namespace samphire {
 
-// Callers of one region.
+// Simulated callers of one region.
 struct caller_group {
   std::string region;
-  // Addresses that they send from; one of them is drawn for each request.
+  // Local IP addresses that requests are sent from; one is drawn at random for
+  // each request.
   std::vector<std::string> sources;
-  // Their part of all requests, relative to the other groups' shares.
+  // Weight of this group: its part of all requests, relative to the shares of
+  // the other groups.
   double share = 1;
 };
 
--- a/src/libsamphire/experiment/latency_percentiles.cc
+++ b/src/libsamphire/experiment/latency_percentiles.cc
@@ -11,7 +11,8 @@
   return std::chrono::duration<double, std::milli>(time).count();
 }
 
-// The nearest rank, so that each figure is a latency that a caller had.
+// Uses the nearest-rank method without interpolation, so that each figure is a
+// latency that a caller observed.
 double AtRank(const std::vector<duration>& sorted, double share) {
   const auto rank = static_cast<std::size_t>(
       std::ceil(share * static_cast<double>(sorted.size())));
--- a/src/libsamphire/experiment/latency_percentiles.h
+++ b/src/libsamphire/experiment/latency_percentiles.h
@@ -7,8 +7,10 @@
 
 namespace samphire {
 
-// Exact percentiles of all latencies of a run.
+// Exact percentiles, in milliseconds, of all latencies of a run, computed from
+// the full sample. All zero for an empty sample.
 struct latency_percentiles {
+  // Sample size.
   std::size_t count = 0;
   double p50_ms = 0;
   double p90_ms = 0;
@@ -17,6 +19,7 @@
   double max_ms = 0;
 };
 
+// Computes the percentiles; sorts its own copy of the latencies.
 latency_percentiles PercentilesOf(std::vector<duration> latencies);
 
 }  // namespace samphire
--- a/src/libsamphire/experiment/load_report.cc
+++ b/src/libsamphire/experiment/load_report.cc
@@ -9,6 +9,8 @@
 
 namespace {
 
+// Names why a request failed: the result code of a refusal, its HTTP status if
+// it has no known code, or else the state of the body.
 std::string ReasonOf(const request_outcome& outcome) {
   if (outcome.body == answer_body::kRefusal && outcome.result > 0) {
     if (const auto code = ResultCodeOf(static_cast<int>(outcome.result)))
@@ -19,12 +21,13 @@
   return std::string(NameOf(kAnswerBodyNames, outcome.body));
 }
 
+// Adds a request to its class as good, late or failed.
 void Count(const request_outcome& outcome, class_report& report) {
   ++report.requests;
-  report.repeats += outcome.attempts - 1;
+  report.retries += outcome.attempts - 1;
   if (outcome.good())
     ++report.good;
-  else if (outcome.body == answer_body::kWhole)
+  else if (outcome.body == answer_body::kComplete)
     ++report.late;
   else
     ++report.failed[ReasonOf(outcome)];
@@ -35,6 +38,7 @@
       std::chrono::duration_cast<std::chrono::seconds>(outcome.at).count());
 }
 
+// Groups requests by the second in which they were to be sent.
 std::vector<second_report> MakeSeconds(
     const scenario& plan,
     const std::vector<request_outcome>& outcomes) {
@@ -46,7 +50,7 @@
     const auto second = SecondOf(outcome);
     ++seconds[second].requests;
     seconds[second].good += outcome.good() ? 1 : 0;
-    if (outcome.body == answer_body::kWhole)
+    if (outcome.body == answer_body::kComplete)
       latencies[second].push_back(outcome.latency);
   }
   for (std::size_t i = 0; i < count; ++i)
@@ -67,7 +71,7 @@
         {.service = stream.service, .request_class = stream.request_class});
   for (const auto& outcome : outcomes) {
     Count(outcome, report.classes[outcome.stream]);
-    if (outcome.body == answer_body::kWhole)
+    if (outcome.body == answer_body::kComplete)
       latencies[outcome.stream].push_back(outcome.latency);
   }
   for (std::size_t i = 0; i < report.classes.size(); ++i)
@@ -87,7 +91,7 @@
     text += fmt::format(
         "{:<34} {:>8} {:>8} {:>6} {:>7} {:>8.1f} {:>8.1f} {:>8.1f} {:>8.1f}\n",
         part.service + "/" + part.request_class, part.requests, part.good,
-        part.late, part.repeats, part.latency.p50_ms, part.latency.p90_ms,
+        part.late, part.retries, part.latency.p50_ms, part.latency.p90_ms,
         part.latency.p99_ms, part.latency.max_ms);
     for (const auto& [reason, count] : part.failed)
       text += fmt::format("    {}: {}\n", reason, count);
@@ -114,7 +118,7 @@
       R"({{"service":{},"class":{},"requests":{},"good":{},"late":{},)"
       R"("repeats":{},"failed":{{{}}},"latency":{}}})",
       JsonQuote(part.service), JsonQuote(part.request_class), part.requests,
-      part.good, part.late, part.repeats, failed, LatencyJson(part.latency));
+      part.good, part.late, part.retries, failed, LatencyJson(part.latency));
 }
 
 }  // namespace
--- a/src/libsamphire/experiment/load_report_svg.cc
+++ b/src/libsamphire/experiment/load_report_svg.cc
@@ -9,19 +9,23 @@
 
 namespace {
 
+// Layout in SVG user units (pixels): size of a panel, offset of the first panel
+// from the left and top edges, vertical space between the panels.
 constexpr double kWidth = 800;
 constexpr double kPanelHeight = 220;
 constexpr double kLeft = 70;
 constexpr double kTop = 30;
 constexpr double kGap = 60;
 
-// One curve of a panel, a value a second.
+// One curve of a panel, with one value for each second of the run.
 struct curve {
   std::string name;
   std::string color;
   std::vector<double> values{};
 };
 
+// Returns the largest value of all curves, but at least 1, which keeps the
+// scale of an empty panel finite.
 double Highest(const std::vector<curve>& curves) {
   double highest = 1;
   for (const auto& c : curves) {
@@ -46,6 +50,8 @@
       c.color, points);
 }
 
+// Draws a framed panel with its title, the scale from 0 to the largest value,
+// the curves and a legend.
 std::string Panel(const std::string& title,
                   const std::vector<curve>& curves,
                   double top) {
@@ -83,14 +89,14 @@
 
 std::string ReportAsSvg(const load_report& report) {
   const auto latency =
-      Panel("latency of whole answers, ms",
+      Panel("latency of complete answers, ms",
             {CurveOf(report, "p50", "#1b7837",
                      [](const auto& second) { return second.latency.p50_ms; }),
              CurveOf(report, "p99", "#b2182b",
                      [](const auto& second) { return second.latency.p99_ms; })},
             kTop);
   const auto rates =
-      Panel("requests in each second of the run",
+      Panel("requests per second",
             {CurveOf(report, "sent", "#666666",
                      [](const auto& second) {
                        return static_cast<double>(second.requests);
--- a/src/libsamphire/experiment/rate_step.h
+++ b/src/libsamphire/experiment/rate_step.h
@@ -5,7 +5,8 @@
 
 namespace samphire {
 
-// From `at`, counted from the start of the run, requests come at this rate.
+// From `at`, measured from the start of the run, requests arrive at this mean
+// rate, until the next step or the end of the run.
 struct rate_step {
   milliseconds at{0};
   double per_second = 0;
--- a/src/libsamphire/experiment/request_stream.h
+++ b/src/libsamphire/experiment/request_stream.h
@@ -11,27 +11,31 @@
 
 namespace samphire {
 
-// Requests of one kind that come at a rate of their own, answered or not.
+// Requests of one service and class with an arrival rate of their own. Arrivals
+// are open-loop: they do not depend on whether earlier requests were answered.
 struct request_stream {
   std::string service;
   std::string request_class;
   std::string method = "GET";
-  // "{n}" becomes the number of the request.
+  // Each "{n}" is replaced by the number of the request.
   std::string path;
+  // Measured from the intended send time of a request.
   milliseconds deadline{1000};
+  // In order of time; no requests before the first step.
   std::vector<rate_step> rates;
-  // Not repeatable: each request carries an idempotency key, and every repeat
-  // of it the same one.
+  // The operation is not idempotent: each request carries an idempotency key,
+  // and all its retries carry the same key.
   bool keyed = false;
-  // The most sendings of one request.
+  // Upper bound of the attempts of one request, the first one included.
   std::uint32_t max_attempts = 1;
-  // The share whose caller closes the connection after `abandon_after` and
-  // asks again.
+  // Share of requests, 0 to 1, whose caller closes the connection after
+  // `abandon_after` and retries.
   double abandon_share = 0;
   milliseconds abandon_after{5};
-  // Bytes that the answer is to hold besides its first line.
+  // Size of the requested answer body in bytes, excluding its first line.
   std::uint64_t answer_bytes = 0;
-  // Sent as they are, such as the stand-in's orders.
+  // Additional headers, sent unchanged, such as the instructions that tell the
+  // stand-in target how to behave.
   std::vector<std::pair<std::string, std::string>> headers;
 };
 
--- a/src/libsamphire/experiment/scenario.h
+++ b/src/libsamphire/experiment/scenario.h
@@ -11,17 +11,20 @@
 
 namespace samphire {
 
-// One experiment: who sends what to whom, and when.
+// Definition of one load experiment: the callers, the requests that they send,
+// and when. Read from JSON by ReadScenario().
 struct scenario {
   std::string name;
+  // Seed of the arrival schedule; see PlanArrivals().
   std::uint32_t seed = 1;
   milliseconds run_time{0};
-  // IP:PORT of the entries that callers know of, to look up further ones.
+  // IP:PORT of the entries that callers know initially; they look up further
+  // entries there.
   std::vector<std::string> entries;
   std::vector<caller_group> callers;
   std::vector<request_stream> streams;
-  // The longest that a caller waits when told to come back.
-  milliseconds longest_wait{1000};
+  // Upper bound of the wait after a refusal with Retry-After.
+  milliseconds max_retry_wait{1000};
 };
 
 }  // namespace samphire
--- a/src/libsamphire/experiment/scenario_reader.h
+++ b/src/libsamphire/experiment/scenario_reader.h
@@ -8,8 +8,9 @@
 
 namespace samphire {
 
-// A scenario from its JSON text. Anything unknown or out of range is refused
-// with the JSON pointer of the value at fault.
+// Reads a scenario from its JSON text. A field that is unknown, missing, of the
+// wrong type or out of range is an error (kUnknownField or kSchemaViolation)
+// with the JSON pointer of the value; malformed JSON is kJsonSyntax.
 result<scenario> ReadScenario(const std::string& text);
 
 }  // namespace samphire
--- a/src/libsamphire/history/answer_body.h
+++ b/src/libsamphire/history/answer_body.h
@@ -5,31 +5,35 @@
 
 namespace samphire {
 
-// What a caller found in the bytes of an answer.
+// What a caller received as the body of a response. The names are stored in
+// histories.
 enum class answer_body {
-  // The target's whole answer.
-  kWhole,
-  // Bytes are missing, and the caller's HTTP library can tell.
+  // The complete answer of a target.
+  kComplete,
+  // Bytes are missing, and HTTP framing shows it, so that the caller's HTTP
+  // library can report it.
   kTruncated,
-  // Looks whole, but bytes are missing or are not those of the target.
+  // Looks complete by HTTP framing, but bytes are missing or differ from those
+  // of
+  // the target.
   kCorrupt,
-  // A refusal, which holds no answer of a target.
+  // A refusal, which contains no answer of a target.
   kRefusal,
-  // The connection ended without any answer.
+  // The connection ended before any response.
   kLost,
-  // No connection could be made.
-  kUnconnected,
-  // The caller waited no longer.
+  // No connection could be established.
+  kNoConnection,
+  // The caller stopped waiting and closed the connection.
   kAbandoned,
 };
 
 inline constexpr enum_names<answer_body, 7> kAnswerBodyNames{{
-    {answer_body::kWhole, "whole"},
+    {answer_body::kComplete, "whole"},
     {answer_body::kTruncated, "truncated"},
     {answer_body::kCorrupt, "corrupt"},
     {answer_body::kRefusal, "refusal"},
     {answer_body::kLost, "lost"},
-    {answer_body::kUnconnected, "unconnected"},
+    {answer_body::kNoConnection, "unconnected"},
     {answer_body::kAbandoned, "abandoned"},
 }};
 
--- a/src/libsamphire/history/at_most_once_rule.cc
+++ b/src/libsamphire/history/at_most_once_rule.cc
@@ -22,8 +22,9 @@
     ++verdict.judged;
     if (starts.size() < 2)
       continue;
-    rule_finding finding{
-        fmt::format("key {} ran {} times", key.second, starts.size()), {}};
+    rule_finding finding{fmt::format("requests with key {} ran {} times",
+                                     key.second, starts.size()),
+                         {}};
     for (const auto* start : starts)
       finding.events.emplace_back(*start);
     verdict.findings.push_back(std::move(finding));
--- a/src/libsamphire/history/at_most_once_rule.h
+++ b/src/libsamphire/history/at_most_once_rule.h
@@ -9,12 +9,15 @@
 
 namespace samphire {
 
-// A request that carries an idempotency key runs at most once, however often
-// it is sent.
+// A request that carries an idempotency key runs at most once in its service,
+// however often it is sent. Judges each key of each service.
 class at_most_once_rule {
  public:
+  // Name of the rule in verdicts.
   static constexpr std::string_view kName = "at-most-once";
 
+  // Judges a history. Stateless, so that any thread may call it. `limits` is
+  // not used.
   rule_verdict Judge(const history_index& history,
                      const history_limits& limits) const;
 };
--- a/src/libsamphire/history/cap_declared.h
+++ b/src/libsamphire/history/cap_declared.h
@@ -9,7 +9,8 @@
 
 namespace samphire {
 
-// A cap on the work of `from`'s callers in `to`.
+// Event: a shift cap was declared, an upper bound of the requests of callers in
+// the region `from` that run in the region `to` at the same time.
 struct cap_declared {
   static constexpr std::string_view kName = "cap-declared";
   history_time time_us = 0;
--- a/src/libsamphire/history/config_accepted.h
+++ b/src/libsamphire/history/config_accepted.h
@@ -8,7 +8,7 @@
 
 namespace samphire {
 
-// The platform accepted a configuration.
+// Event: the platform accepted a configuration with this version.
 struct config_accepted {
   static constexpr std::string_view kName = "config-accepted";
   history_time time_us = 0;
--- a/src/libsamphire/history/config_rule.h
+++ b/src/libsamphire/history/config_rule.h
@@ -9,12 +9,15 @@
 
 namespace samphire {
 
-// An accepted configuration is in force everywhere within seconds and never
-// goes back.
+// An accepted configuration is in force at every entry within
+// history_limits::config_limit, and no entry ever reverts to an older version.
+// Judges every version that an entry reported, alone or with an answer.
 class config_rule {
  public:
+  // Name of the rule in verdicts.
   static constexpr std::string_view kName = "configuration";
 
+  // Judges a history. Stateless, so that any thread may call it.
   rule_verdict Judge(const history_index& history,
                      const history_limits& limits) const;
 };
--- a/src/libsamphire/history/config_seen.h
+++ b/src/libsamphire/history/config_seen.h
@@ -9,11 +9,13 @@
 
 namespace samphire {
 
-// An entry, asked at `asked_us`, said at `time_us` what is in force there.
+// Event: an entry, asked at `asked_us`, reported at `time_us` the version of
+// the configuration that is in force there.
 struct config_seen {
   static constexpr std::string_view kName = "config-seen";
   history_time time_us = 0;
   history_time asked_us = 0;
+  // IP:PORT of the entry.
   std::string entry{};
   std::int64_t version = 0;
 
--- a/src/libsamphire/history/echo_body.cc
+++ b/src/libsamphire/history/echo_body.cc
@@ -11,6 +11,7 @@
 
 namespace {
 
+// Filler is made of words of this size, each a hash of its index.
 constexpr std::uint64_t kWordBytes = 8;
 
 std::uint64_t WordAt(std::uint64_t seed, std::uint64_t index) {
--- a/src/libsamphire/history/fresh_level_rule.cc
+++ b/src/libsamphire/history/fresh_level_rule.cc
@@ -10,24 +10,25 @@
 
 constexpr history_time kMicrosPerSecond = 1'000'000;
 
-std::string Fault(const history_index& history,
-                  const indexed_request& request) {
+// Describes what is wrong with an answer; empty if nothing is.
+std::string FindViolation(const history_index& history,
+                          const indexed_request& request) {
   const auto& answer = *request.answer;
   const auto run = history.runs().find(answer.target_run);
   if (run == history.runs().end())
-    return "an answer of a run that no target knows";
+    return "the answer names a run that no target recorded";
   if (run->second.end != nullptr &&
       run->second.end->measured_us != answer.measured_us)
-    return "an answer with another time of measurement than its run's";
+    return "the measurement time of the answer differs from that of its run";
   if (run->second.start.time_us < request.sent.time_us)
-    return fmt::format("a level measured {} ms before it was asked for",
+    return fmt::format("the level was measured {} ms before it was requested",
                        (request.sent.time_us - answer.measured_us) / 1000);
-  // A header that says younger than it is makes an old level look safe.
+  // An Age header that understates the age makes an outdated level look safe.
   if (answer.age_s < 0)
-    return "the target's Age header was lost";
+    return "the Age header of the target is missing";
   const auto age_us = answer.time_us - answer.measured_us;
   if (answer.age_s * kMicrosPerSecond > age_us + kMicrosPerSecond)
-    return "the Age header was changed";
+    return "the Age header exceeds the age of the measurement";
   return {};
 }
 
@@ -39,15 +40,16 @@
   if (history.targets().empty())
     return verdict;
   for (const auto& [id, request] : history.requests()) {
-    // A recorded answer of a keyed request says that it is one; it is no level.
+    // The answer to a request with an idempotency key may be replayed from the
+    // ledger; it is marked as replayed and is not a current level.
     if (request.answer == nullptr ||
-        request.answer->body != answer_body::kWhole ||
+        request.answer->body != answer_body::kComplete ||
         request.answer->result == static_cast<int>(result_code::kReplayed))
       continue;
     ++verdict.judged;
-    if (auto fault = Fault(history, request); !fault.empty())
+    if (auto violation = FindViolation(history, request); !violation.empty())
       verdict.findings.push_back(
-          {std::move(fault), {request.sent, *request.answer}});
+          {std::move(violation), {request.sent, *request.answer}});
   }
   return verdict;
 }
--- a/src/libsamphire/history/fresh_level_rule.h
+++ b/src/libsamphire/history/fresh_level_rule.h
@@ -9,11 +9,16 @@
 
 namespace samphire {
 
-// A level is the one that the request's own run measured, as old as it says.
+// A measured level in an answer comes from the run of the request itself, not
+// from an earlier one, and the Age header does not misstate its age. Judges
+// complete answers that are not replayed, if targets recorded a history.
 class fresh_level_rule {
  public:
+  // Name of the rule in verdicts.
   static constexpr std::string_view kName = "fresh-level";
 
+  // Judges a history. Stateless, so that any thread may call it. `limits` is
+  // not used.
   rule_verdict Judge(const history_index& history,
                      const history_limits& limits) const;
 };
--- a/src/libsamphire/history/history_codec.cc
+++ b/src/libsamphire/history/history_codec.cc
@@ -12,6 +12,7 @@
 
 namespace {
 
+// Select the name table of an enum that occurs in events.
 constexpr const enum_names<run_outcome, 3>& NamesFor(run_outcome) {
   return kRunOutcomeNames;
 }
@@ -22,6 +23,7 @@
   return kAnswerBodyNames;
 }
 
+// Writes the fields of an event as JSON in the order of its Fields().
 class field_writer {
  public:
   explicit field_writer(std::string_view event)
@@ -48,27 +50,28 @@
   std::string line_;
 };
 
-// Collects the first fault instead of throwing, so that the line is named.
+// Reads the fields of an event. Keeps the first error instead of throwing, so
+// that the caller can report it with the number of the line.
 class field_reader {
  public:
   explicit field_reader(const Poco::JSON::Object& object) : object_(object) {}
 
   void operator()(const char* name, std::int64_t& value) {
-    const auto found = Take(name);
+    const auto found = Consume(name);
     if (found.isInteger())
       value = found.convert<std::int64_t>();
     else
       Fail(name);
   }
   void operator()(const char* name, bool& value) {
-    const auto found = Take(name);
+    const auto found = Consume(name);
     if (found.isBoolean())
       value = found.convert<bool>();
     else
       Fail(name);
   }
   void operator()(const char* name, std::string& value) {
-    const auto found = Take(name);
+    const auto found = Consume(name);
     if (found.isString())
       value = found.convert<std::string>();
     else
@@ -86,43 +89,47 @@
       Fail(name);
   }
 
-  // The first field at fault; one beside "event" and the known ones as well.
-  std::optional<std::string> fault() const {
-    if (!fault_ && object_.size() != taken_ + 1)
+  // Returns the name of the first invalid field, if any. A field other than
+  // "event" and those of the event is an error, too.
+  std::optional<std::string> first_error() const {
+    if (!first_error_ && object_.size() != consumed_ + 1)
       return "unknown field";
-    return fault_;
+    return first_error_;
   }
 
  private:
-  Poco::Dynamic::Var Take(const char* name) {
-    ++taken_;
+  Poco::Dynamic::Var Consume(const char* name) {
+    ++consumed_;
     return object_.get(name);
   }
   void Fail(const char* name) {
-    if (!fault_)
-      fault_ = name;
+    if (!first_error_)
+      first_error_ = name;
   }
 
   const Poco::JSON::Object& object_;
-  std::size_t taken_ = 0;
-  std::optional<std::string> fault_;
+  std::size_t consumed_ = 0;
+  std::optional<std::string> first_error_;
 };
 
+// Decodes an event of the known type E.
 template <typename E>
 result<history_event> DecodeAs(const Poco::JSON::Object& object) {
   E event;
   field_reader reader(object);
   E::Fields(event, reader);
-  if (const auto fault = reader.fault())
-    return MakeError(result_code::kSchemaViolation, *fault);
+  if (const auto first_error = reader.first_error())
+    return MakeError(result_code::kSchemaViolation, *first_error);
   return history_event(std::move(event));
 }
 
+// Finds the event type called `name` among the alternatives from I on.
 template <std::size_t I = 0>
 result<history_event> DecodeNamed(const std::string& name,
                                   const Poco::JSON::Object& object) {
   if constexpr (I == std::variant_size_v<history_event>) {
-    return MakeError(result_code::kSchemaViolation, "unknown event " + name);
+    return MakeError(result_code::kSchemaViolation,
+                     "unknown event type " + name);
   } else {
     using candidate = std::variant_alternative_t<I, history_event>;
     if (name == candidate::kName)
--- a/src/libsamphire/history/history_codec.h
+++ b/src/libsamphire/history/history_codec.h
@@ -8,11 +8,12 @@
 
 namespace samphire {
 
-// One event as one line of JSON, without the line's end.
+// Encodes an event as one line of JSON, without the line end.
 std::string EncodeEvent(const history_event& event);
 
-// The event of a line. A field that is missing, unknown or of another type is
-// refused: a checker that guesses would call a broken history clean.
+// Decodes the event of a line. A field that is missing, unknown or of the wrong
+// type is an error (kSchemaViolation; kJsonSyntax for malformed JSON): a
+// checker that guessed would report an invalid history as clean.
 result<history_event> DecodeEvent(const std::string& line);
 
 }  // namespace samphire
--- a/src/libsamphire/history/history_event.h
+++ b/src/libsamphire/history/history_event.h
@@ -17,8 +17,10 @@
 
 namespace samphire {
 
-// Whatever a history holds. Each kind lists its fields once, in Fields(), for
-// the writer and the reader alike.
+// An event of a history, the record of a test or load run of the system that
+// samphire-check judges. Each event type has a kName, which identifies it in
+// the file, and lists its stored fields once, in Fields(), for both the writer
+// and the reader. Its time_us is the time at which it was recorded.
 using history_event = std::variant<target_declared,
                                    cap_declared,
                                    run_started,
@@ -31,6 +33,7 @@
                                    target_leaving,
                                    planned_stop>;
 
+// Returns the time of an event of any type.
 inline history_time TimeOf(const history_event& event) {
   return std::visit([](const auto& e) { return e.time_us; }, event);
 }
--- a/src/libsamphire/history/history_index.h
+++ b/src/libsamphire/history/history_index.h
@@ -11,25 +11,32 @@
 
 namespace samphire {
 
-// One run with its end, if it had one.
+// A run at a target with its end; null if no end was recorded.
 struct indexed_run {
   run_started start;
   const run_ended* end = nullptr;
 };
 
-// One sending with its answer, if it had one.
+// One attempt of a request with its answer (null if none was recorded) and the
+// numbers of its runs at targets.
 struct indexed_request {
   request_sent sent;
   const request_answered* answer = nullptr;
   std::vector<std::int64_t> runs{};
 };
 
-// A history by what its rules ask for. Keeps references into the events.
+// Index of a history for the rules. Keeps references into the events, which
+// must outlive it and stay unchanged. Immutable after construction, so that
+// several threads may read it. An answer or end without its request or run is
+// left out.
 class history_index {
  public:
+  // Expects the events in order of time.
   explicit history_index(const std::vector<history_event>& events);
 
   const std::vector<history_event>& events() const { return events_; }
+  // By run number, request id, and name of the target; of a target that was
+  // declared several times the last declaration.
   const std::map<std::int64_t, indexed_run>& runs() const { return runs_; }
   const std::map<std::string, indexed_request, std::less<>>& requests() const {
     return requests_;
@@ -38,7 +45,7 @@
     return targets_;
   }
 
-  // All events of one kind, in order.
+  // Returns all events of one type, in order.
   template <typename E>
   std::vector<const E*> All() const {
     std::vector<const E*> found;
--- a/src/libsamphire/history/history_judge.cc
+++ b/src/libsamphire/history/history_judge.cc
@@ -24,9 +24,9 @@
   return verdicts;
 }
 
-bool AnyBroken(const std::vector<rule_verdict>& verdicts) {
+bool AnyViolated(const std::vector<rule_verdict>& verdicts) {
   return std::any_of(verdicts.begin(), verdicts.end(), [](const auto& verdict) {
-    return verdict.kind() == verdict_kind::kBroken;
+    return verdict.kind() == verdict_kind::kViolated;
   });
 }
 
--- a/src/libsamphire/history/history_judge.h
+++ b/src/libsamphire/history/history_judge.h
@@ -17,6 +17,7 @@
 
 namespace samphire {
 
+// Any of the rules: the guarantees that the system gives to its users.
 using history_rule = std::variant<own_answer_rule,
                                   not_run_rule,
                                   at_most_once_rule,
@@ -28,13 +29,16 @@
                                   refusal_rule,
                                   fresh_level_rule>;
 
+// Returns one object of each rule, in the order of the verdicts.
 const std::vector<history_rule>& AllRules();
 
-// What every rule says of a history whose events are in the order of time.
+// Applies every rule to a history and returns a verdict for each. The events
+// must be in order of time. Any thread may call it.
 std::vector<rule_verdict> JudgeHistory(const std::vector<history_event>& events,
                                        const history_limits& limits);
 
-bool AnyBroken(const std::vector<rule_verdict>& verdicts);
+// Returns whether any rule is violated.
+bool AnyViolated(const std::vector<rule_verdict>& verdicts);
 
 }  // namespace samphire
 
--- a/src/libsamphire/history/history_limits.h
+++ b/src/libsamphire/history/history_limits.h
@@ -5,15 +5,17 @@
 
 namespace samphire {
 
-// The times that the users' promises name without a number.
+// Time limits for guarantees that are given to users without a number.
 struct history_limits {
-  // "Within a few seconds": after this a leaving target starts no new run.
-  milliseconds leaving{3000};
-  // "In force everywhere within seconds".
-  milliseconds in_force{9000};
-  // A request that is given up on gets its final answer at once: this long
-  // after it was sent, or after its deadline for one that waited.
-  milliseconds at_once{250};
+  // "Within a few seconds": a target that is being drained starts no new run
+  // after this time.
+  milliseconds leaving_limit{3000};
+  // "In force everywhere within seconds": the time from the acceptance of a
+  // configuration until every entry uses it.
+  milliseconds config_limit{9000};
+  // A request that is refused or expires gets its final answer at once: within
+  // this time after it was sent, or after its deadline if it waited in a queue.
+  milliseconds refusal_limit{250};
 };
 
 }  // namespace samphire
--- a/src/libsamphire/history/history_measures.cc
+++ b/src/libsamphire/history/history_measures.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "history/in_flight_count.h"
+#include "history/in_flight_peak.h"
 
 namespace samphire {
 
@@ -15,7 +15,7 @@
     region.region = target.region;
     region.slots += target.slots;
   }
-  const auto peaks = FindPeaks(
+  const auto peaks = FindInFlightPeaks(
       history, [&](const run_started& start) -> std::optional<std::string> {
         const auto target = history.targets().find(start.target);
         if (target == history.targets().end())
--- a/src/libsamphire/history/history_reader.cc
+++ b/src/libsamphire/history/history_reader.cc
@@ -20,9 +20,9 @@
     if (event) {
       events.push_back(std::move(event.value()));
     } else if (!unfinished) {
-      auto why = event.error();
-      why.detail = fmt::format("line {}: {}", number, why.detail);
-      return why;
+      auto read_error = event.error();
+      read_error.detail = fmt::format("line {}: {}", number, read_error.detail);
+      return read_error;
     }
   }
   return events;
@@ -37,9 +37,9 @@
       return MakeError(result_code::kFileUnreadable, path);
     auto events = ReadHistory(file);
     if (!events) {
-      auto why = events.error();
-      why.detail = path + ": " + why.detail;
-      return why;
+      auto read_error = events.error();
+      read_error.detail = path + ": " + read_error.detail;
+      return read_error;
     }
     std::move(events.value().begin(), events.value().end(),
               std::back_inserter(all));
--- a/src/libsamphire/history/history_reader.h
+++ b/src/libsamphire/history/history_reader.h
@@ -10,12 +10,15 @@
 
 namespace samphire {
 
-// All events of several files in the order of their times.
+// Reads several files and returns all their events in order of time. Fails with
+// kFileUnreadable if a file cannot be opened, and as ReadHistory() does, with
+// the path in the detail.
 result<std::vector<history_event>> ReadHistories(
     const std::vector<std::string>& paths);
 
-// The events of one stream, in its order. A last line without an end is left
-// out: its writer was killed while it wrote.
+// Reads the events of one stream, in its order. An incomplete last line without
+// a line end is skipped, since its writer was killed while writing it; any
+// other invalid line is an error, with the line number in the detail.
 result<std::vector<history_event>> ReadHistory(std::istream& stream);
 
 }  // namespace samphire
--- a/src/libsamphire/history/history_time.h
+++ b/src/libsamphire/history/history_time.h
@@ -5,8 +5,8 @@
 
 namespace samphire {
 
-// Time of day in microseconds: the histories of several processes of one
-// machine are merged by it.
+// Wall-clock time in microseconds since the Unix epoch. Wall-clock time is used
+// since the histories of several processes of one machine are merged by it.
 using history_time = std::int64_t;
 
 }  // namespace samphire
--- a/src/libsamphire/history/history_writer.cc
+++ b/src/libsamphire/history/history_writer.cc
@@ -21,8 +21,8 @@
   const auto line = EncodeEvent(event) + "\n";
   std::lock_guard guard(lock_);
   std::fwrite(line.data(), 1, line.size(), file_.get());
-  // A process that is killed must not take the events with it: the checker
-  // would take a run that it never heard of for one that never happened.
+  // Events must not be lost in a buffer when the process is killed: the checker
+  // would conclude from a missing event that the run never happened.
   std::fflush(file_.get());
 }
 
--- a/src/libsamphire/history/history_writer.h
+++ b/src/libsamphire/history/history_writer.h
@@ -11,12 +11,15 @@
 
 namespace samphire {
 
-// Appends events to a file, one line each. Several threads may write.
+// Appends events to a file, one line each, and flushes after each. Several
+// threads may write; a mutex keeps their lines apart. Write errors are ignored.
 class history_writer {
  public:
-  // A writer without a file drops everything.
+  // A writer without a file discards all events.
   history_writer() = default;
 
+  // Opens a file for appending and creates it if necessary. Fails with
+  // kFileUnreadable.
   static result<std::unique_ptr<history_writer>> Open(const std::string& path);
 
   void Write(const history_event& event);
@@ -30,7 +33,7 @@
   std::unique_ptr<std::FILE, file_closer> file_;
 };
 
-// The time that events carry.
+// Returns the current time for an event.
 history_time HistoryNow();
 
 }  // namespace samphire
--- a/src/libsamphire/history/in_flight_count.cc
+++ b/src/libsamphire/history/in_flight_peak.cc
@@ -1,29 +1,29 @@
-#include "history/in_flight_count.h"
+#include "history/in_flight_peak.h"
 
 #include <algorithm>
 #include <map>
 
 namespace samphire {
 
-std::vector<in_flight_peak> FindPeaks(
+std::vector<in_flight_peak> FindInFlightPeaks(
     const history_index& history,
     const std::function<std::optional<std::string>(const run_started&)>&
         group_of) {
   struct group_state {
-    std::int64_t now = 0;
+    std::int64_t in_flight = 0;
     in_flight_peak peak;
   };
   std::map<std::string, group_state> groups;
-  // Events are in the order of time. A run that never ended (its process was
-  // killed) is over when its target starts anew, which the history does not
-  // show: it counts until its target is declared again.
+  // Events are in order of time. A run without a recorded end (its process was
+  // killed) is over when its target restarts. The history has no event for the
+  // restart itself, so that the run counts until its target is declared again.
   std::map<std::int64_t, std::string> running;
   std::map<std::string, std::vector<std::int64_t>> running_at;
   const auto end = [&](std::int64_t run) {
     const auto found = running.find(run);
     if (found == running.end())
       return;
-    --groups[found->second].now;
+    --groups[found->second].in_flight;
     running.erase(found);
   };
   for (const auto& event : history.events()) {
@@ -34,8 +34,8 @@
       running[start->run] = *group;
       running_at[start->target].push_back(start->run);
       auto& state = groups[*group];
-      if (++state.now > state.peak.count)
-        state.peak = {*group, state.now, *start};
+      if (++state.in_flight > state.peak.count)
+        state.peak = {*group, state.in_flight, *start};
     } else if (const auto* ended = std::get_if<run_ended>(&event)) {
       end(ended->run);
     } else if (const auto* target = std::get_if<target_declared>(&event)) {
--- a/src/libsamphire/history/in_flight_count.h
+++ b/src/libsamphire/history/in_flight_peak.h
@@ -1,5 +1,5 @@
-#ifndef HISTORY_IN_FLIGHT_COUNT_H_
-#define HISTORY_IN_FLIGHT_COUNT_H_
+#ifndef HISTORY_IN_FLIGHT_PEAK_H_
+#define HISTORY_IN_FLIGHT_PEAK_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,20 +11,21 @@
 
 namespace samphire {
 
-// The moment when a group had the most runs at once.
+// Peak concurrency of a group: the largest number of runs at the same time.
 struct in_flight_peak {
   std::string group;
   std::int64_t count = 0;
-  // The run that made it so.
+  // The run whose start reached the peak.
   run_started start;
 };
 
-// The peak of each group of runs; `group_of` leaves a run out by nothing.
-std::vector<in_flight_peak> FindPeaks(
+// Returns the peak of each group of runs. `group_of` names the group of a run;
+// runs for which it returns nothing are left out.
+std::vector<in_flight_peak> FindInFlightPeaks(
     const history_index& history,
     const std::function<std::optional<std::string>(const run_started&)>&
         group_of);
 
 }  // namespace samphire
 
-#endif  // HISTORY_IN_FLIGHT_COUNT_H_
+#endif  // HISTORY_IN_FLIGHT_PEAK_H_
--- a/src/libsamphire/history/leaving_rule.h
+++ b/src/libsamphire/history/leaving_rule.h
@@ -9,11 +9,14 @@
 
 namespace samphire {
 
-// A target that is leaving starts no new run after a few seconds.
+// A target that is being drained starts no new run later than
+// history_limits::leaving_limit after the drain began. Judges each drain.
 class leaving_rule {
  public:
+  // Name of the rule in verdicts.
   static constexpr std::string_view kName = "leaving-target";
 
+  // Judges a history. Stateless, so that any thread may call it.
   rule_verdict Judge(const history_index& history,
                      const history_limits& limits) const;
 };
--- a/src/libsamphire/history/log_line.cc
+++ b/src/libsamphire/history/log_line.cc
@@ -15,7 +15,8 @@
                                          : std::string(line.substr(start));
 }
 
-// The end of a file that was cut, or another program's line, is told by null.
+// Malformed JSON is expected: a log file may be truncated at its end or contain
+// lines of other programs.
 Poco::JSON::Object::Ptr ParseLogLine(const std::string& text) {
   try {
     Poco::JSON::Parser parser;
--- a/src/libsamphire/history/log_line.h
+++ b/src/libsamphire/history/log_line.h
@@ -8,14 +8,14 @@
 
 namespace samphire {
 
-// Whether a line of a log file says nothing.
+// Returns whether a line of a log file is empty or white space only.
 bool IsBlank(std::string_view line);
 
-// A log line from its opening brace on: what stands before it is passed over,
-// as collectors put their own words there.
+// Returns a log line from its opening brace on; empty without a brace. Text
+// before the brace is skipped, since log collectors add prefixes of their own.
 std::string LogLineText(std::string_view line);
 
-// That text as JSON; null where it is no object.
+// Parses the text of a log line; null if it is not a JSON object.
 Poco::JSON::Object::Ptr ParseLogLine(const std::string& text);
 
 }  // namespace samphire
--- a/src/libsamphire/history/log_losses.cc
+++ b/src/libsamphire/history/loss_summary.cc
@@ -1,4 +1,4 @@
-#include "history/log_losses.h"
+#include "history/loss_summary.h"
 
 #include <fmt/format.h>
 
@@ -12,10 +12,12 @@
 
 namespace {
 
-constexpr int kFirstFailure = 400;
+// HTTP statuses from here on are errors; assumed if a log line has no status.
+constexpr int kFirstErrorStatus = 400;
 
-// The time without its last digit of the second: 2026-12-03T10:00:4.
-std::string SpanOf(const std::string& time) {
+// Returns the start of the ten-second interval of a time: the time without the
+// last digit of its seconds, such as 2026-12-03T10:00:4, and a zero.
+std::string IntervalOf(const std::string& time) {
   constexpr std::size_t kToTensOfSeconds = 18;
   return time.substr(0, kToTensOfSeconds) + "0";
 }
@@ -30,7 +32,7 @@
 
 }  // namespace
 
-void log_losses::Read(std::string_view line) {
+void loss_summary::Read(std::string_view line) {
   if (IsBlank(line))
     return;
   const auto json = ParseLogLine(LogLineText(line));
@@ -42,44 +44,47 @@
   const auto key = json->optValue<std::string>("instance", "") + " " +
                    json->optValue<std::string>("request", "");
   if (event == "attempt") {
-    open_[key] = {
+    pending_[key] = {
         .load_before = json->optValue<double>("load_before", 0),
         .slots = json->optValue<double>("slots", 0),
         .knows_key = json->optValue("knows_key", true),
         .answered = json->optValue<std::string>("result", "") == "answered"};
   } else if (event == "request" || event == "request-refused-unread") {
-    const auto last = open_.find(key);
-    CountEnd(json->optValue<std::string>("time", ""),
-             json->optValue<std::string>("result", ""),
-             json->optValue("status", kFirstFailure),
-             last == open_.end() ? nullptr : &last->second);
-    open_.erase(key);
+    const auto last = pending_.find(key);
+    CountCompletion(json->optValue<std::string>("time", ""),
+                    json->optValue<std::string>("result", ""),
+                    json->optValue("status", kFirstErrorStatus),
+                    last == pending_.end() ? nullptr : &last->second);
+    pending_.erase(key);
   } else if (event == "log-lines-dropped") {
     dropped_ += json->optValue<std::uint64_t>("lines", 0);
   }
 }
 
-// An attempt's line is written only where it failed or took longer than the
-// objective, so a request that was answered and has one at the end was late.
-void log_losses::CountEnd(const std::string& time,
-                          const std::string& result,
-                          int status,
-                          const attempt* last) {
+// Entries log an attempt only if it failed or took longer than the latency
+// objective. A request that was answered by a logged attempt was therefore
+// late.
+void loss_summary::CountCompletion(const std::string& time,
+                                   const std::string& result,
+                                   int status,
+                                   const attempt* last) {
   ++requests_;
-  auto& span = by_span_[SpanOf(time)];
-  ++span.requests;
-  if (status <= 0 || status >= kFirstFailure) {
-    ++span.unserved;
-    // The target's own failure was passed on.
-    const bool targets = result == "ok";
-    ++by_cause_["not served: " + (targets ? "the target failed it" : result)];
+  auto& interval = by_interval_[IntervalOf(time)];
+  ++interval.requests;
+  if (status <= 0 || status >= kFirstErrorStatus) {
+    ++interval.unserved;
+    // An error status of the target itself is passed on to the caller and
+    // logged with result "ok".
+    const bool target_failed = result == "ok";
+    ++by_cause_["not served: " +
+                (target_failed ? "the target failed it" : result)];
   } else if (last != nullptr && last->answered) {
-    ++span.late;
+    ++interval.late;
     ++by_cause_[LateCause(*last)];
   }
 }
 
-std::string log_losses::LateCause(const attempt& last) {
+std::string loss_summary::LateCause(const attempt& last) {
   if (!last.knows_key)
     return "late: the target was not known to have the key";
   if (last.slots > 0 && last.load_before >= last.slots)
@@ -87,9 +92,9 @@
   return "late: the target was slow";
 }
 
-std::string log_losses::Text() const {
+std::string loss_summary::Text() const {
   std::string text = fmt::format(
-      "requests: {}; lines dropped: {}; lines that are no JSON: {}\n",
+      "requests: {}; lines dropped: {}; lines that are not JSON: {}\n",
       requests_, dropped_, unreadable_);
   std::vector<std::pair<std::string, std::uint64_t>> causes(by_cause_.begin(),
                                                             by_cause_.end());
@@ -101,10 +106,10 @@
                         cause);
   text += fmt::format("{:20} {:>8} {:>8} {:>8}\n", "from", "requests", "late",
                       "unserved");
-  for (const auto& [from, span] : by_span_) {
-    text += fmt::format("{:20} {:>8} {:>8} {:>8}\n", from, span.requests,
-                        Percent(span.late, span.requests),
-                        Percent(span.unserved, span.requests));
+  for (const auto& [from, interval] : by_interval_) {
+    text += fmt::format("{:20} {:>8} {:>8} {:>8}\n", from, interval.requests,
+                        Percent(interval.late, interval.requests),
+                        Percent(interval.unserved, interval.requests));
   }
   return text;
 }
--- a/src/libsamphire/history/not_run_rule.cc
+++ b/src/libsamphire/history/not_run_rule.cc
@@ -5,7 +5,8 @@
 rule_verdict not_run_rule::Judge(const history_index& history,
                                  const history_limits&) const {
   rule_verdict verdict{.rule = std::string(kName)};
-  // Without any target's history nobody could have seen a run.
+  // Runs are recorded by targets; without a history of any target there is no
+  // evidence.
   if (history.targets().empty())
     return verdict;
   for (const auto& [id, request] : history.requests()) {
@@ -15,7 +16,7 @@
     ++verdict.judged;
     if (!request.runs.empty()) {
       verdict.findings.push_back(
-          {"told not-run, but it ran",
+          {"reported as not-run, but it ran",
            {request.sent, *request.answer,
             history.runs().at(request.runs.front()).start}});
     }
--- a/src/libsamphire/history/not_run_rule.h
+++ b/src/libsamphire/history/not_run_rule.h
@@ -9,11 +9,15 @@
 
 namespace samphire {
 
-// When a caller is told "not run", the request never ran at any target.
+// A request that is reported to its caller as "not-run" never ran at any
+// target. Judges each such answer, if targets recorded a history.
 class not_run_rule {
  public:
+  // Name of the rule in verdicts.
   static constexpr std::string_view kName = "not-run";
 
+  // Judges a history. Stateless, so that any thread may call it. `limits` is
+  // not used.
   rule_verdict Judge(const history_index& history,
                      const history_limits& limits) const;
 };
--- a/src/libsamphire/history/own_answer_rule.cc
+++ b/src/libsamphire/history/own_answer_rule.cc
@@ -8,9 +8,10 @@
 
 namespace {
 
-// A recorded answer is that of the first sending with the same key.
-bool OwnOrReplayed(const history_index& history,
-                   const indexed_request& request) {
+// Returns whether an answer belongs to the request. A replayed answer is that
+// of the attempt that ran, with the same service and idempotency key.
+bool IsOwnOrReplayed(const history_index& history,
+                     const indexed_request& request) {
   const auto& answer = *request.answer;
   if (answer.echo_id == answer.id)
     return true;
@@ -32,17 +33,18 @@
     if (request.answer == nullptr)
       continue;
     const auto& answer = *request.answer;
-    if (answer.body != answer_body::kWhole &&
+    if (answer.body != answer_body::kComplete &&
         answer.body != answer_body::kCorrupt)
       continue;
     ++verdict.judged;
     if (answer.body == answer_body::kCorrupt) {
       verdict.findings.push_back(
-          {"an answer looks whole, but its bytes are not the target's",
+          {"an answer looks complete, but its bytes differ from the target's",
            {request.sent, answer}});
-    } else if (!OwnOrReplayed(history, request)) {
+    } else if (!IsOwnOrReplayed(history, request)) {
       verdict.findings.push_back(
-          {fmt::format("{} got the answer to {}", id, answer.echo_id),
+          {fmt::format("request {} got the answer to request {}", id,
+                       answer.echo_id),
            {request.sent, answer}});
     }
   }
--- a/src/libsamphire/history/planned_stop.h
+++ b/src/libsamphire/history/planned_stop.h
@@ -8,10 +8,11 @@
 
 namespace samphire {
 
-// A planned stop of an entry (its address) or a target began or was over.
+// Event: a planned stop of an entry or a target began, or is over.
 struct planned_stop {
   static constexpr std::string_view kName = "planned-stop";
   history_time time_us = 0;
+  // IP:PORT of the entry or "SERVICE/NAME" of the target.
   std::string subject{};
   bool over = false;
 
--- a/src/libsamphire/history/planned_stop_rule.cc
+++ b/src/libsamphire/history/planned_stop_rule.cc
@@ -8,36 +8,38 @@
 
 namespace {
 
-// From when until when a subject was stopping.
-struct stop_span {
+// Time during which an entry or a target was being stopped, both ends included;
+// open-ended while no end is recorded.
+struct stop_interval {
   const planned_stop* begin = nullptr;
   history_time end_us = std::numeric_limits<history_time>::max();
 
-  bool Holds(history_time at) const {
+  bool Contains(history_time at) const {
     return at >= begin->time_us && at <= end_us;
   }
 };
 
-std::vector<stop_span> FindSpans(const history_index& history) {
-  std::vector<stop_span> spans;
+std::vector<stop_interval> FindStopIntervals(const history_index& history) {
+  std::vector<stop_interval> intervals;
   for (const auto* stop : history.All<planned_stop>()) {
     if (!stop->over) {
-      spans.push_back({.begin = stop});
+      intervals.push_back({.begin = stop});
       continue;
     }
-    for (auto& span : spans) {
-      if (span.begin->subject == stop->subject &&
-          span.end_us == std::numeric_limits<history_time>::max())
-        span.end_us = stop->time_us;
+    for (auto& interval : intervals) {
+      if (interval.begin->subject == stop->subject &&
+          interval.end_us == std::numeric_limits<history_time>::max())
+        interval.end_us = stop->time_us;
     }
   }
-  return spans;
+  return intervals;
 }
 
-// Whether the connection's end took a request with it. One that was sent on an
-// idle connection at the moment the entry closed it never reached the entry;
-// HTTP leaves that race to the caller, who may send it again.
-bool WasCut(const indexed_request& request) {
+// Returns whether a request was lost or truncated because its connection was
+// closed. Not counted is a request sent on an idle connection just when the
+// entry closed it: it never reached the entry, and HTTP leaves this race to the
+// caller, who may retry.
+bool WasInterrupted(const indexed_request& request) {
   const auto& answer = *request.answer;
   if (answer.body == answer_body::kTruncated)
     return true;
@@ -45,47 +47,51 @@
          (!answer.reused || !request.runs.empty());
 }
 
-// Whether the target itself broke off what it sent.
-bool CutByTarget(const history_index& history, const indexed_request& request) {
+// Returns whether the target itself aborted a run of the request.
+bool InterruptedByTarget(const history_index& history,
+                         const indexed_request& request) {
   for (const auto number : request.runs) {
     const auto* end = history.runs().at(number).end;
-    if (end == nullptr || end->outcome == run_outcome::kCut)
+    if (end == nullptr || end->outcome == run_outcome::kAborted)
       return true;
   }
   return false;
 }
 
+// Judges the requests that an entry answered while it was being stopped.
 void JudgeEntry(const history_index& history,
-                const stop_span& span,
+                const stop_interval& interval,
                 rule_verdict& verdict) {
   for (const auto& [id, request] : history.requests()) {
-    if (request.sent.entry != span.begin->subject ||
-        request.answer == nullptr || !span.Holds(request.answer->time_us))
+    if (request.sent.entry != interval.begin->subject ||
+        request.answer == nullptr ||
+        !interval.Contains(request.answer->time_us))
       continue;
     ++verdict.judged;
-    if (WasCut(request) && !CutByTarget(history, request)) {
+    if (WasInterrupted(request) && !InterruptedByTarget(history, request)) {
       verdict.findings.push_back(
-          {"a planned stop cut a request",
-           {*span.begin, request.sent, *request.answer}});
+          {"a planned stop interrupted a request",
+           {*interval.begin, request.sent, *request.answer}});
     }
   }
 }
 
+// Judges the runs that were in progress at a target while it was being stopped.
 void JudgeTarget(const history_index& history,
-                 const stop_span& span,
+                 const stop_interval& interval,
                  rule_verdict& verdict) {
   for (const auto& [number, run] : history.runs()) {
-    if (run.start.target != span.begin->subject ||
-        run.start.time_us > span.end_us)
+    if (run.start.target != interval.begin->subject ||
+        run.start.time_us > interval.end_us)
       continue;
     const bool ended_before =
-        run.end != nullptr && run.end->time_us < span.begin->time_us;
+        run.end != nullptr && run.end->time_us < interval.begin->time_us;
     if (ended_before)
       continue;
     ++verdict.judged;
-    if (run.end == nullptr || run.end->outcome == run_outcome::kCut)
+    if (run.end == nullptr || run.end->outcome == run_outcome::kAborted)
       verdict.findings.push_back(
-          {"a planned stop cut a run", {*span.begin, run.start}});
+          {"a planned stop interrupted a run", {*interval.begin, run.start}});
   }
 }
 
@@ -94,11 +100,11 @@
 rule_verdict planned_stop_rule::Judge(const history_index& history,
                                       const history_limits&) const {
   rule_verdict verdict{.rule = std::string(kName)};
-  for (const auto& span : FindSpans(history)) {
-    if (history.targets().contains(span.begin->subject))
-      JudgeTarget(history, span, verdict);
+  for (const auto& interval : FindStopIntervals(history)) {
+    if (history.targets().contains(interval.begin->subject))
+      JudgeTarget(history, interval, verdict);
     else
-      JudgeEntry(history, span, verdict);
+      JudgeEntry(history, interval, verdict);
   }
   return verdict;
 }
--- a/src/libsamphire/history/refusal_rule.cc
+++ b/src/libsamphire/history/refusal_rule.cc
@@ -8,8 +8,9 @@
 
 namespace {
 
-// Refusals that are decided on arrival; the others come after a wait for a
-// slot, a target or a peer, and by the deadline at the latest.
+// Returns whether a refusal is decided when the request arrives. The others
+// follow a wait for a slot, a target or a peer, and come by the deadline at the
+// latest.
 bool DecidedOnArrival(result_code code) {
   using enum result_code;
   switch (code) {
@@ -31,14 +32,15 @@
   }
 }
 
-std::string Fault(const indexed_request& request,
-                  const history_limits& limits) {
+// Describes what is wrong with a final answer; empty if nothing is.
+std::string FindViolation(const indexed_request& request,
+                          const history_limits& limits) {
   const auto& answer = *request.answer;
-  const auto grace = microseconds(limits.at_once).count();
+  const auto grace = microseconds(limits.refusal_limit).count();
   const auto deadline = microseconds(milliseconds(request.sent.deadline_ms));
   const auto code = ResultCodeOf(static_cast<int>(answer.result));
   if (answer.latency_us > deadline.count() + grace)
-    return fmt::format("no final answer until {} ms after the deadline",
+    return fmt::format("final answer only {} ms after the deadline",
                        (answer.latency_us - deadline.count()) / 1000);
   if (answer.body != answer_body::kRefusal || !code)
     return {};
@@ -62,9 +64,9 @@
     if (body != answer_body::kRefusal && body != answer_body::kAbandoned)
       continue;
     ++verdict.judged;
-    if (auto fault = Fault(request, limits); !fault.empty())
+    if (auto violation = FindViolation(request, limits); !violation.empty())
       verdict.findings.push_back(
-          {std::move(fault), {request.sent, *request.answer}});
+          {std::move(violation), {request.sent, *request.answer}});
   }
   return verdict;
 }
--- a/src/libsamphire/history/request_sent.h
+++ b/src/libsamphire/history/request_sent.h
@@ -9,17 +9,21 @@
 
 namespace samphire {
 
-// A caller sent a request. Every sending has an id of its own; a repeat shares
-// only the key.
+// Event: a caller sent an attempt of a request. Every attempt has an id of its
+// own; retries share only the idempotency key.
 struct request_sent {
   static constexpr std::string_view kName = "request-sent";
   history_time time_us = 0;
   std::string id{};
   std::string service{};
   std::string request_class{};
+  // Idempotency key; empty without one.
   std::string key{};
+  // Region of the caller.
   std::string home{};
+  // IP:PORT of the entry.
   std::string entry{};
+  // Time left until the deadline when the attempt was sent.
   std::int64_t deadline_ms = 0;
 
   static void Fields(auto& self, auto&& field) {
--- a/src/libsamphire/history/log_story.cc
+++ b/src/libsamphire/history/request_trace.cc
@@ -1,4 +1,4 @@
-#include "history/log_story.h"
+#include "history/request_trace.h"
 
 #include <algorithm>
 #include <array>
@@ -11,8 +11,9 @@
 
 namespace {
 
-// What an entry believes of its surroundings is told by the last of each.
-constexpr std::array<std::string_view, 6> kBeliefs = {
+// Log events about the state of the entry itself. The last one of each type
+// shows what the entry knows about its environment.
+constexpr std::array<std::string_view, 6> kStateEvents = {
     "started",    "config-in-force", "targets-changed",
     "store-lost", "store-regained",  "leaving"};
 
@@ -31,7 +32,7 @@
 
 }  // namespace
 
-void log_story::Read(std::string_view line) {
+void request_trace::Read(std::string_view line) {
   if (IsBlank(line))
     return;
   auto record = Parse(line);
@@ -39,22 +40,23 @@
     ++unreadable_;
     return;
   }
-  auto& known = beliefs_[record->instance];
+  auto& known = last_state_[record->instance];
   if (record->request == request_ && !request_.empty()) {
-    // The first line of the request at this entry: what it knew by then.
-    for (auto& [event, belief] : known)
-      context_.push_back(std::move(belief));
+    // At the first line of the request at this entry, its state up to then
+    // becomes part of the trace.
+    for (auto& [event, state] : known)
+      context_.push_back(std::move(state));
     known.clear();
-    of_request_.push_back(std::move(*record));
-  } else if (std::find(kBeliefs.begin(), kBeliefs.end(), record->event) !=
-             kBeliefs.end()) {
+    request_lines_.push_back(std::move(*record));
+  } else if (std::find(kStateEvents.begin(), kStateEvents.end(),
+                       record->event) != kStateEvents.end()) {
     known[record->event] = std::move(*record);
   }
 }
 
-std::vector<log_record> log_story::Lines() const {
+std::vector<log_record> request_trace::Lines() const {
   auto lines = context_;
-  lines.insert(lines.end(), of_request_.begin(), of_request_.end());
+  lines.insert(lines.end(), request_lines_.begin(), request_lines_.end());
   std::stable_sort(
       lines.begin(), lines.end(),
       [](const auto& a, const auto& b) { return a.time < b.time; });
--- a/src/libsamphire/history/rule_finding.h
+++ b/src/libsamphire/history/rule_finding.h
@@ -8,9 +8,9 @@
 
 namespace samphire {
 
-// One promise that was broken, with the events that show it.
+// One violation of a rule, with the events that prove it.
 struct rule_finding {
-  std::string why;
+  std::string message;
   std::vector<history_event> events;
 };
 
--- a/src/libsamphire/history/run_claim.h
+++ b/src/libsamphire/history/run_claim.h
@@ -5,7 +5,9 @@
 
 namespace samphire {
 
-// What an answer says about whether its request ran.
+// What a response says about whether its request ran at a target. The names are
+// stored in histories.
+// kNone: the response says nothing. kUnknown: the entry does not know.
 enum class run_claim { kNone, kRan, kNotRun, kUnknown };
 
 inline constexpr enum_names<run_claim, 4> kRunClaimNames{{
--- a/src/libsamphire/history/run_shed.h
+++ b/src/libsamphire/history/run_shed.h
@@ -9,12 +9,13 @@
 
 namespace samphire {
 
-// A target turned a request away, since all its slots were busy.
+// Event: a target refused a request because all its slots were busy.
 struct run_shed {
   static constexpr std::string_view kName = "run-shed";
   history_time time_us = 0;
   std::string target{};
   std::string request_id{};
+  // Runs at the target at that time.
   std::int64_t in_flight = 0;
 
   static void Fields(auto& self, auto&& field) {
--- a/src/libsamphire/history/run_started.h
+++ b/src/libsamphire/history/run_started.h
@@ -9,13 +9,15 @@
 
 namespace samphire {
 
-// A target began to run a request.
+// Event: a target started to run a request.
 struct run_started {
   static constexpr std::string_view kName = "run-started";
   history_time time_us = 0;
   std::string target{};
+  // Number of the run, unique in a history.
   std::int64_t run = 0;
   std::string request_id{};
+  // Idempotency key of the request; empty without one.
   std::string key{};
 
   static void Fields(auto& self, auto&& field) {
--- a/src/libsamphire/history/shift_cap_rule.h
+++ b/src/libsamphire/history/shift_cap_rule.h
@@ -9,11 +9,16 @@
 
 namespace samphire {
 
-// The work of one region's callers in another never exceeds the declared cap.
+// The number of runs of one region's callers in another region never exceeds
+// the declared shift cap; without a cap for the pair of regions, none is
+// allowed. Judges each pair with such runs, if any cap is declared.
 class shift_cap_rule {
  public:
+  // Name of the rule in verdicts.
   static constexpr std::string_view kName = "shift-cap";
 
+  // Judges a history. Stateless, so that any thread may call it. `limits` is
+  // not used.
   rule_verdict Judge(const history_index& history,
                      const history_limits& limits) const;
 };
--- a/src/libsamphire/history/target_declared.h
+++ b/src/libsamphire/history/target_declared.h
@@ -9,7 +9,8 @@
 
 namespace samphire {
 
-// A target and what it can carry.
+// Event: a target started, with its region and its slots, the number of
+// requests that it can run at the same time.
 struct target_declared {
   static constexpr std::string_view kName = "target-declared";
   history_time time_us = 0;
--- a/src/load/caller.cc
+++ b/src/load/caller.cc
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "exchange.h"
-#include "experiment/repeat_decision.h"
+#include "experiment/caller_retry_context.h"
 
 namespace samphire {
 
@@ -23,7 +23,7 @@
 
 request_answered NoEntryKnown() {
   request_answered answer;
-  answer.body = answer_body::kUnconnected;
+  answer.body = answer_body::kNoConnection;
   return answer;
 }
 
@@ -76,11 +76,11 @@
     if (abandons && answer.body == answer_body::kAbandoned)
       continue;
     const auto wait =
-        DecideRepeat({.answer = answer,
-                      .keyed = stream.keyed,
-                      .more_attempts = outcome.attempts < max_attempts,
-                      .left = intended + stream.deadline - done,
-                      .longest_wait = plan_.longest_wait});
+        CallerRetryDelay({.answer = answer,
+                          .keyed = stream.keyed,
+                          .attempts_remain = outcome.attempts < max_attempts,
+                          .time_left = intended + stream.deadline - done,
+                          .max_retry_wait = plan_.max_retry_wait});
     if (!wait)
       return outcome;
     std::this_thread::sleep_for(*wait);
--- a/src/load/exchange.cc
+++ b/src/load/exchange.cc
@@ -103,7 +103,7 @@
 
 request_answered Exchange(keep_alive_pool& pool, exchange_order& order) {
   request_answered answer;
-  answer.body = answer_body::kUnconnected;
+  answer.body = answer_body::kNoConnection;
   caller_connection connection;
   try {
     connection = pool.Take(order.source, order.destination, order.patience);
@@ -123,7 +123,7 @@
     if (framing && response.getKeepAlive())
       pool.GiveBack(order.source, order.destination, std::move(connection));
   } catch (const Poco::TimeoutException&) {
-    if (answer.body != answer_body::kUnconnected)
+    if (answer.body != answer_body::kNoConnection)
       answer.body = answer_body::kAbandoned;
   } catch (const Poco::Exception&) {
     // The body's state says how far it came.
--- a/src/load/main.cc
+++ b/src/load/main.cc
@@ -11,9 +11,9 @@
 #include "base/log.h"
 #include "caller.h"
 #include "config/file_text.h"
+#include "experiment/arrival_schedule.h"
 #include "experiment/load_report.h"
 #include "experiment/scenario_reader.h"
-#include "experiment/schedule.h"
 #include "load_run.h"
 #include "lookup_run.h"
 
--- a/src/target/worker_handler.cc
+++ b/src/target/worker_handler.cc
@@ -144,7 +144,7 @@
     return;
   }
   if (order.crash) {
-    worker_.End(run, run_outcome::kCut, 0);
+    worker_.End(run, run_outcome::kAborted, 0);
     crash_();
     Break(request, response);
     return;
@@ -153,7 +153,8 @@
   auto& socket = SocketOf(request);
   if (!worker_.Work(run, order, [&] { return CallerGone(socket); })) {
     worker_.End(
-        run, worker_.Crashed(run) ? run_outcome::kCut : run_outcome::kCancelled,
+        run,
+        worker_.Crashed(run) ? run_outcome::kAborted : run_outcome::kCancelled,
         0);
     if (worker_.Crashed(run) || CallerGone(socket)) {
       Break(request, response);
@@ -192,7 +193,7 @@
   if (order.truncate && *order.truncate < head.size() + order.bytes) {
     WriteBody(out, head, order, *order.truncate, [] {});
     Break(request, response);
-    return run_outcome::kCut;
+    return run_outcome::kAborted;
   }
   bool ended = false;
   WriteBody(out, head, order, UINT64_MAX, [&] {
--- a/tests/experiment/experiment_test.cc
+++ b/tests/experiment/experiment_test.cc
@@ -1,11 +1,11 @@
 #include <catch2/catch.hpp>
 
+#include "experiment/arrival_schedule.h"
 #include "experiment/body_check.h"
+#include "experiment/caller_retry_context.h"
 #include "experiment/latency_percentiles.h"
 #include "experiment/load_report.h"
-#include "experiment/repeat_decision.h"
 #include "experiment/scenario_reader.h"
-#include "experiment/schedule.h"
 
 using namespace samphire;
 using namespace std::chrono_literals;
@@ -33,24 +33,26 @@
          EchoFiller("id", 0, static_cast<std::size_t>(bytes));
 }
 
-// Fed in pieces, as it comes from a connection.
-answer_body Verdict(const std::string& answer, bool framing_whole) {
+// Passes the answer in pieces of 7 bytes, as it may arrive from a connection.
+answer_body Verdict(const std::string& answer, bool framing_complete) {
   body_check check;
   for (std::size_t i = 0; i < answer.size(); i += 7)
     check.Add(std::string_view(answer).substr(i, 7));
-  return check.Verdict(framing_whole);
+  return check.Verdict(framing_complete);
 }
 
-repeat_view Refused(std::int64_t retry_after_s) {
-  repeat_view view{.more_attempts = true, .left = 3s, .longest_wait = 1s};
-  view.answer.body = answer_body::kRefusal;
-  view.answer.retry_after_s = retry_after_s;
-  return view;
+caller_retry_context Refused(std::int64_t retry_after_s) {
+  caller_retry_context context{
+      .attempts_remain = true, .time_left = 3s, .max_retry_wait = 1s};
+  context.answer.body = answer_body::kRefusal;
+  context.answer.retry_after_s = retry_after_s;
+  return context;
 }
 
 }  // namespace
 
-TEST_CASE("a scenario is refused with the pointer of its fault") {
+TEST_CASE(
+    "an invalid scenario is rejected with the JSON pointer of its error") {
   REQUIRE(ReadScenario(kScenario));
   const auto pointer = [](const std::string& text) {
     const auto plan = ReadScenario(text);
@@ -65,7 +67,8 @@
   CHECK(pointer(With("[{\"at_ms\"", "[7,{\"at_ms\"")) == "/streams/0/rates/0");
 }
 
-TEST_CASE("arrivals follow rates and shares and are the same for a seed") {
+TEST_CASE(
+    "arrivals follow rates and shares and are the same for the same seed") {
   const auto plan = ReadScenario(kScenario).value();
   const auto arrivals = PlanArrivals(plan);
   const auto again = PlanArrivals(plan);
@@ -78,18 +81,19 @@
     early += arrivals[i].at < 2s ? 1 : 0;
     of_first += arrivals[i].group == 0 ? 1 : 0;
   }
-  // 200 and 2,000 are expected; the seed is fixed, the margin is 4 sigma.
+  // 200 arrivals before and 2,000 after the rate step are expected. The seed is
+  // fixed; the margin is 4 standard deviations.
   CHECK(early == Approx(200).margin(60));
   CHECK(arrivals.size() == Approx(2200).margin(190));
   CHECK(of_first ==
         Approx(0.75 * static_cast<double>(arrivals.size())).margin(85));
 }
 
-// A target closes in the middle of an answer. The caller must be able to tell
-// half a history from a whole one.
-TEST_CASE("missing, added and changed bytes of an answer are told apart") {
+// A target closes the connection in the middle of an answer. The caller must be
+// able to tell a partial answer from a complete one.
+TEST_CASE("missing, added and changed bytes of an answer are detected") {
   const auto answer = EchoAnswer(100);
-  CHECK(Verdict(answer, true) == answer_body::kWhole);
+  CHECK(Verdict(answer, true) == answer_body::kComplete);
   CHECK(Verdict(answer.substr(0, 90), false) == answer_body::kTruncated);
   CHECK(Verdict(answer.substr(0, 20), false) == answer_body::kTruncated);
   CHECK(Verdict(answer.substr(0, 90), true) == answer_body::kCorrupt);
@@ -100,41 +104,42 @@
   CHECK(Verdict(changed, true) == answer_body::kCorrupt);
 }
 
-TEST_CASE("filler is the same however it is cut") {
+TEST_CASE("filler does not depend on offset and size of the requested part") {
   const auto whole = EchoFiller("id", 0, 1000);
   CHECK(EchoFiller("id", 13, 500) == whole.substr(13, 500));
   CHECK(EchoFiller("other", 0, 1000) != whole);
 }
 
-// A region refuses everyone and names a time to come back. Callers that don't
-// wait would keep it overloaded.
-TEST_CASE("a refusal is obeyed within bounds, and final without a time") {
-  CHECK(DecideRepeat(Refused(0)) == duration(0));
-  CHECK(DecideRepeat(Refused(600)) == duration(1s));
-  CHECK_FALSE(DecideRepeat(Refused(-1)));
-  auto view = Refused(1);
-  view.left = 500ms;
-  CHECK_FALSE(DecideRepeat(view));
-  view = Refused(1);
-  view.more_attempts = false;
-  CHECK_FALSE(DecideRepeat(view));
+// An overloaded region refuses all requests with a Retry-After header. Callers
+// that retry without waiting would keep it overloaded.
+TEST_CASE(
+    "Retry-After is honoured within bounds; a refusal without it is final") {
+  CHECK(CallerRetryDelay(Refused(0)) == duration(0));
+  CHECK(CallerRetryDelay(Refused(600)) == duration(1s));
+  CHECK_FALSE(CallerRetryDelay(Refused(-1)));
+  auto context = Refused(1);
+  context.time_left = 500ms;
+  CHECK_FALSE(CallerRetryDelay(context));
+  context = Refused(1);
+  context.attempts_remain = false;
+  CHECK_FALSE(CallerRetryDelay(context));
 }
 
-TEST_CASE("a lost answer is asked for again at once, a whole one never") {
-  auto view = Refused(-1);
-  for (const auto body : {answer_body::kLost, answer_body::kUnconnected,
+TEST_CASE("a lost answer is retried at once, a complete one never") {
+  auto context = Refused(-1);
+  for (const auto body : {answer_body::kLost, answer_body::kNoConnection,
                           answer_body::kTruncated}) {
-    view.answer.body = body;
-    CHECK(DecideRepeat(view) == duration(0));
+    context.answer.body = body;
+    CHECK(CallerRetryDelay(context) == duration(0));
   }
-  view.left = duration(0);
-  CHECK_FALSE(DecideRepeat(view));
-  view = Refused(5);
-  view.answer.body = answer_body::kWhole;
-  CHECK_FALSE(DecideRepeat(view));
+  context.time_left = duration(0);
+  CHECK_FALSE(CallerRetryDelay(context));
+  context = Refused(5);
+  context.answer.body = answer_body::kComplete;
+  CHECK_FALSE(CallerRetryDelay(context));
 }
 
-TEST_CASE("percentiles are latencies that occurred") {
+TEST_CASE("percentiles are latencies from the sample") {
   std::vector<duration> latencies;
   for (int i = 100; i > 0; --i)
     latencies.push_back(milliseconds(i));
@@ -145,10 +150,10 @@
   CHECK(PercentilesOf({}).count == 0);
 }
 
-TEST_CASE("the report counts good, late and failed apart") {
+TEST_CASE("the report counts good, late and failed requests separately") {
   const auto plan = ReadScenario(kScenario).value();
   request_outcome good{
-      .latency = 50ms, .deadline = 100ms, .body = answer_body::kWhole};
+      .latency = 50ms, .deadline = 100ms, .body = answer_body::kComplete};
   auto late = good;
   late.latency = 200ms;
   late.at = 3s;
--- a/tests/history/codec_test.cc
+++ b/tests/history/codec_test.cc
@@ -7,7 +7,7 @@
 
 using namespace samphire;
 
-TEST_CASE("every kind of event survives writing and reading") {
+TEST_CASE("every type of event is the same after encoding and decoding") {
   history_builder history;
   history.Answered("o\"ne\n", 0, 10, "s/a", "key")
       .Add(run_shed{.target = "s/a", .request_id = "x", .in_flight = 2})
@@ -24,11 +24,11 @@
   }
 }
 
-// A program of another version writes a history that the checker half
-// understands. It would call it clean.
-TEST_CASE("an event that is not understood in full is refused") {
-  const auto sound = R"({"event":"config-accepted","time_us":1,"version":2})";
-  CHECK(DecodeEvent(sound));
+// A program of another version writes events that the checker understands only
+// in part. Accepting them could report an invalid history as clean.
+TEST_CASE("an event with missing, unknown or mistyped fields is rejected") {
+  const auto valid = R"({"event":"config-accepted","time_us":1,"version":2})";
+  CHECK(DecodeEvent(valid));
   for (const auto* line :
        {R"({"event":"config-accepted","time_us":1})",
         R"({"event":"config-accepted","time_us":1,"version":"2"})",
@@ -39,7 +39,7 @@
     CHECK_FALSE(DecodeEvent(line));
 }
 
-TEST_CASE("an outcome of another name is refused") {
+TEST_CASE("an unknown outcome name is rejected") {
   history_builder history;
   history.Run(1, "s/a", "one", 0, 10);
   auto line = EncodeEvent(history.First<run_ended>());
@@ -48,8 +48,8 @@
 }
 
 // A process is killed while it writes its last line. The rest of its history
-// still has to be judged.
-TEST_CASE("only a last line without its end may be broken") {
+// must still be judged.
+TEST_CASE("only a last line without a line end may be malformed") {
   const std::string line =
       R"({"event":"config-accepted","time_us":1,"version":2})";
   std::istringstream killed(line + "\n" + line.substr(0, 20));
--- a/tests/history/history_builder.cc
+++ b/tests/history/history_builder.cc
@@ -26,7 +26,7 @@
                               .result = 0,
                               .claim = run_claim::kRan,
                               .config_version = 3,
-                              .body = answer_body::kWhole,
+                              .body = answer_body::kComplete,
                               .echo_id = id,
                               .target_run = run,
                               .measured_us = Ms(answered_ms),
@@ -72,7 +72,7 @@
     if (verdict.rule == rule)
       return verdict;
   }
-  throw std::logic_error("no such rule");
+  throw std::logic_error("no rule of this name");
 }
 
 }  // namespace samphire
--- a/tests/history/history_builder.h
+++ b/tests/history/history_builder.h
@@ -9,16 +9,20 @@
 
 namespace samphire {
 
-// Builds a sound history step by step; a test then breaks one thing. Times are
-// in milliseconds from the start.
+// Builds a valid history step by step; a test then invalidates one detail of
+// it. Arguments named _ms are milliseconds from the start of the history. The
+// history starts with the targets s/a in region east and s/b in west, two slots
+// each, and a shift cap of 1 from east to west.
 class history_builder {
  public:
-  // A request that one run at `target` answered whole.
+  // Adds a request that one run at `target` answered completely, with the
+  // events of the caller and the target.
   history_builder& Answered(const std::string& id,
                             history_time sent_ms,
                             history_time answered_ms,
                             const std::string& target = "s/a",
                             const std::string& key = "");
+  // Adds the start and end of a run at `target`, without a request.
   history_builder& Run(std::int64_t run,
                        const std::string& target,
                        const std::string& id,
@@ -28,18 +32,19 @@
                        run_outcome outcome = run_outcome::kFinished);
   history_builder& Add(history_event event);
 
-  // The first event of a kind, for a test to change.
+  // Returns the first event of a type, for a test to change.
   template <typename E>
   E& First() {
     for (auto& event : events_) {
       if (auto* found = std::get_if<E>(&event))
         return *found;
     }
-    throw std::logic_error("no such event");
+    throw std::logic_error("no event of this type");
   }
 
-  // In the order of time.
+  // Returns the events in order of time.
   std::vector<history_event> events() const;
+  // Returns the verdict of one rule, with the default limits.
   rule_verdict Judge(std::string_view rule) const;
 
  private:
@@ -50,6 +55,7 @@
   std::int64_t next_run_ = 100;
 };
 
+// Converts milliseconds to the microseconds of event times.
 constexpr history_time Ms(history_time ms) {
   return ms * 1000;
 }
--- a/tests/history/log_losses_test.cc
+++ b/tests/history/loss_summary_test.cc
@@ -1,25 +1,26 @@
-#include "history/log_losses.h"
+#include "history/loss_summary.h"
 
 #include <catch2/catch.hpp>
 
 using namespace samphire;
 
-// Callers complain of a bad quarter of an hour, and nobody has a request's id.
-// The engineer has the logs of two entries, and must see what was late, what
-// was not served, when, and why.
-TEST_CASE("logs tell how many requests were lost, when and why") {
-  log_losses losses;
+// Callers report problems during a quarter of an hour, but no request id is
+// known. From the logs of two entries an engineer must see which requests were
+// late, which were not served, when, and why.
+TEST_CASE("logs show how many requests were late or unserved, when and why") {
+  loss_summary losses;
   const char* const lines[] = {
-      // In time: no line but its end.
+      // In time: only the line of its end is logged.
       R"({"time":"2026-12-03T10:00:01.000Z","instance":"a","event":"request","request":"r1","result":"ok","status":200})",
-      // Late, since its target had to learn the key.
+      // Late because its target did not have the key yet.
       R"({"time":"2026-12-03T10:00:02.000Z","instance":"a","event":"attempt","request":"r2","load_before":0,"slots":4,"knows_key":false,"result":"answered"})",
       R"({"time":"2026-12-03T10:00:02.001Z","instance":"a","event":"request","request":"r2","result":"ok","status":200})",
-      // Late in a queue.
+      // Late because it was queued at the target.
       R"(front-1 {"time":"2026-12-03T10:00:03.000Z","instance":"b","event":"attempt","request":"r3","load_before":4.5,"slots":4,"knows_key":true,"result":"answered"})",
       R"(front-1 {"time":"2026-12-03T10:00:03.001Z","instance":"b","event":"request","request":"r3","result":"ok","status":200})",
-      // Refused, and its caller came back as another request, served in time
-      // at the second target.
+      // Refused; the caller retried with another request id and was served in
+      // time
+      // by the second target.
       R"({"time":"2026-12-03T10:00:14.000Z","instance":"a","event":"request","request":"r4","result":"queue-full","status":503})",
       R"({"time":"2026-12-03T10:00:15.000Z","instance":"a","event":"attempt","request":"r5","load_before":1,"slots":4,"knows_key":true,"result":"lost"})",
       R"({"time":"2026-12-03T10:00:15.100Z","instance":"a","event":"request","request":"r5","result":"ok","status":200})",
@@ -37,10 +38,10 @@
             {"late: queued at the target", 1},
             {"not served: queue-full", 1},
             {"not served: the target failed it", 1}});
-  const auto& first = losses.by_span().at("2026-12-03T10:00:00");
+  const auto& first = losses.by_interval().at("2026-12-03T10:00:00");
   CHECK(first.requests == 3);
   CHECK(first.late == 2);
-  const auto& second = losses.by_span().at("2026-12-03T10:00:10");
+  const auto& second = losses.by_interval().at("2026-12-03T10:00:10");
   CHECK(second.requests == 3);
   CHECK(second.unserved == 2);
   CHECK(losses.Text().find("16.7%  not served: queue-full") !=
--- a/tests/history/rules_property_test.cc
+++ b/tests/history/rules_property_test.cc
@@ -10,9 +10,9 @@
 
 namespace {
 
-// A history as a faultless system would make it: runs of one target that never
-// overlap more than its slots allow, each asked for and answered.
-history_builder SoundHistory(const std::vector<std::uint8_t>& lengths) {
+// Returns a history that violates no rule: runs at one target with two slots,
+// never more than two at the same time, each with its request and answer.
+history_builder ValidHistory(const std::vector<std::uint8_t>& lengths) {
   history_builder history;
   std::array<history_time, 2> free_at{};
   int number = 0;
@@ -32,38 +32,39 @@
 
 }  // namespace
 
-TEST_CASE("property: a sound history is clean by every rule") {
+TEST_CASE("property: a valid history is clean by every rule") {
   CHECK(rc::check([] {
-    const auto history = SoundHistory(Lengths());
-    RC_ASSERT(!AnyBroken(JudgeHistory(history.events(), {})));
+    const auto history = ValidHistory(Lengths());
+    RC_ASSERT(!AnyViolated(JudgeHistory(history.events(), {})));
   }));
 }
 
-TEST_CASE("property: one more run while both slots are busy is always found") {
+TEST_CASE("property: a third run while both slots are busy is always found") {
   CHECK(rc::check([] {
-    auto history = SoundHistory(Lengths());
+    auto history = ValidHistory(Lengths());
     history.Run(1, "s/a", "x", 5000, 5010).Run(2, "s/a", "y", 5000, 5010);
     const auto from = *rc::gen::inRange(5000, 5009);
     const auto length = *rc::gen::inRange(1, 50);
     history.Run(3, "s/a", "z", from, from + length);
-    RC_ASSERT(history.Judge("slots").kind() == verdict_kind::kBroken);
+    RC_ASSERT(history.Judge("slots").kind() == verdict_kind::kViolated);
   }));
 }
 
-TEST_CASE("property: any later run of a key that ran is found") {
+TEST_CASE("property: any second run of a key is found") {
   CHECK(rc::check([] {
-    auto history = SoundHistory(Lengths());
+    auto history = ValidHistory(Lengths());
     const auto first = *rc::gen::inRange(0, 10'000);
     const auto second = *rc::gen::inRange(0, 10'000);
     history.Run(1, "s/a", "x", first, first + 1, "key")
         .Run(2, "s/b", "y", second, second + 1, "key");
-    RC_ASSERT(history.Judge("at-most-once").kind() == verdict_kind::kBroken);
+    RC_ASSERT(history.Judge("at-most-once").kind() == verdict_kind::kViolated);
   }));
 }
 
-// The order in which an entry's versions are told is shuffled; whenever one
-// that was asked for later is lower, the rule must see it.
-TEST_CASE("property: versions are judged as by comparing every pair") {
+// The versions reported by an entry are in random order. Whenever a report that
+// was requested after another was answered has a lower version, the rule must
+// find it.
+TEST_CASE("property: versions are judged as if every pair were compared") {
   CHECK(rc::check([] {
     history_builder history;
     const auto count = *rc::gen::inRange(2, 12);
@@ -82,11 +83,11 @@
         went_back |= a.time_us < b.asked_us && b.version < a.version;
     }
     const auto verdict = history.Judge("configuration");
-    RC_ASSERT((verdict.kind() == verdict_kind::kBroken) == went_back);
+    RC_ASSERT((verdict.kind() == verdict_kind::kViolated) == went_back);
   }));
 }
 
-TEST_CASE("headroom and drain time are taken from the runs") {
+TEST_CASE("headroom and drain time are computed from the runs") {
   history_builder history;
   history.Run(1, "s/a", "one", 0, 40).Run(2, "s/b", "two", 0, 10);
   history.Add(target_leaving{.time_us = Ms(10), .target = "s/a"});
--- a/tests/process/fleet.cc
+++ b/tests/process/fleet.cc
@@ -229,9 +229,9 @@
 }
 
 bool fleet::MoreWhole(std::size_t more) const {
-  const auto before = CountAnswers(answer_body::kWhole);
+  const auto before = CountAnswers(answer_body::kComplete);
   return WaitUntil(
-      [&] { return CountAnswers(answer_body::kWhole) >= before + more; });
+      [&] { return CountAnswers(answer_body::kComplete) >= before + more; });
 }
 
 std::string fleet::File(const std::string& name) const {
@@ -244,15 +244,15 @@
 
 void CheckClean(const std::vector<history_event>& history,
                 const std::vector<std::string>& but) {
-  const history_limits limits{.leaving = std::chrono::seconds(5),
-                              .in_force = std::chrono::seconds(20),
-                              .at_once = std::chrono::seconds(5)};
+  const history_limits limits{.leaving_limit = std::chrono::seconds(5),
+                              .config_limit = std::chrono::seconds(20),
+                              .refusal_limit = std::chrono::seconds(5)};
   std::string findings;
   for (const auto& verdict : JudgeHistory(history, limits)) {
     if (std::find(but.begin(), but.end(), verdict.rule) != but.end())
       continue;
     for (const auto& finding : verdict.findings) {
-      findings += verdict.rule + ": " + finding.why + "\n";
+      findings += verdict.rule + ": " + finding.message + "\n";
       for (const auto& event : finding.events)
         findings += "  " + EncodeEvent(event) + "\n";
     }
--- a/tests/process/platform_failure_test.cc
+++ b/tests/process/platform_failure_test.cc
@@ -146,8 +146,9 @@
   std::map<std::string, bool> answered;
   const history_index index(history);
   for (const auto& [id, request] : index.requests())
-    answered[request.sent.key] |= request.answer != nullptr &&
-                                  request.answer->body == answer_body::kWhole;
+    answered[request.sent.key] |=
+        request.answer != nullptr &&
+        request.answer->body == answer_body::kComplete;
   for (const auto& [key, whole] : answered) {
     INFO(key);
     CHECK(whole);
--- a/tests/process/target_test.cc
+++ b/tests/process/target_test.cc
@@ -104,7 +104,7 @@
       target.Get("two", {{"Target-Bytes", "1000"}, {"Target-Truncate", "200"}});
   CHECK(cut.body.size() == 200);
   CHECK(cut.headers.at("Content-Length") > "1000");
-  CHECK(target.OutcomeOf("two") == run_outcome::kCut);
+  CHECK(target.OutcomeOf("two") == run_outcome::kAborted);
 }
 
 // A caller hangs up while its request runs. Work that nobody waits for would
@@ -151,8 +151,8 @@
   auto other = target.Occupy("other", "60000");
   CHECK(target.Get("poison", {{"Target-Crash", "1"}}).status == 0);
   other.join();
-  CHECK(target.OutcomeOf("other") == run_outcome::kCut);
-  CHECK(target.OutcomeOf("poison") == run_outcome::kCut);
+  CHECK(target.OutcomeOf("other") == run_outcome::kAborted);
+  CHECK(target.OutcomeOf("poison") == run_outcome::kAborted);
   CHECK(WaitUntil([&] { return target.Get("after").status == 200; }));
 }
 
