--- a/src/load/caller.h
+++ b/src/load/caller.h
@@ -15,45 +15,61 @@
 
 namespace samphire {
 
-// Carries requests through all their sendings, as the callers of a scenario.
-// Several threads may use one.
+// Sends requests on behalf of the callers of a scenario, including retries and
+// deliberately abandoned attempts, and records each attempt in the history.
+// Thread-safe: the sender threads of a run share one instance. The scenario,
+// pool, cache and history writer must outlive it.
 class caller {
  public:
-  // `direct` names the only destination, a target that is sent to without the
-  // system; "" sends through the entries that look-ups name.
+  // `direct` is the IP:PORT of a target to which all requests are sent,
+  // bypassing the entries; if it is "", requests go to the entries returned by
+  // look-ups.
   caller(const scenario& plan,
          std::string direct,
          keep_alive_pool& pool,
          lookup_cache& lookups,
          history_writer& history);
 
-  request_outcome Carry(const arrival& arrival, time_point start);
+  // Blocks until the request has a final outcome. Its intended send time is
+  // `start` plus the arrival's offset; deadline and latency count from there.
+  // Network errors are reported in the outcome, not thrown.
+  request_outcome SendWithRetries(const arrival& arrival, time_point start);
 
  private:
-  struct sending {
+  // One attempt to send a request.
+  struct request_attempt {
     std::string id;
+    // Idempotency key, the same for all attempts; "" if the stream has none.
     std::string key;
+    // IP:PORT; "" if no entry is known.
     std::string destination;
-    duration left{0};
-    duration patience{0};
+    // Time until the deadline, sent along with the request.
+    duration remaining{0};
+    // How long the caller waits to connect, and for each read, before it
+    // hangs up.
+    duration response_timeout{0};
   };
 
-  std::string Destination(const request_stream& stream,
-                          const std::string& source,
-                          std::uint32_t attempt);
-  Poco::Net::HTTPRequest MakeRequest(const request_stream& stream,
-                                     const arrival& arrival,
-                                     const sending& sending) const;
+  // Rotates through the known entries, so that a retry goes to the next one.
+  // Returns "" if no entry is known.
+  std::string SelectDestination(const request_stream& stream,
+                                const std::string& source,
+                                std::uint32_t attempt);
+  Poco::Net::HTTPRequest MakeRequest(
+      const request_stream& stream,
+      const arrival& arrival,
+      const request_attempt& request_attempt) const;
   request_answered Send(const request_stream& stream,
                         const arrival& arrival,
-                        const sending& sending);
+                        const request_attempt& request_attempt);
 
   const scenario& plan_;
   const std::string direct_;
   keep_alive_pool& pool_;
   lookup_cache& lookups_;
   history_writer& history_;
-  // Keeps the ids of several runs in one history apart.
+  // Prefix of request ids and idempotency keys. Distinguishes several runs
+  // that append to one history.
   const std::string run_tag_;
 };
 
--- a/src/load/exchange.cc
+++ b/src/load/exchange.cc
@@ -17,32 +17,36 @@
 
 using Poco::Net::HTTPResponse;
 
+// Size of the buffer for one read from the response body.
 constexpr std::size_t kReadBytes = 64 << 10;
 
-std::int64_t NumberOf(const HTTPResponse& response,
-                      const std::string& header,
-                      std::int64_t otherwise) {
+std::int64_t ParseNumericHeader(const HTTPResponse& response,
+                                const std::string& header,
+                                std::int64_t fallback) {
   const auto text = response.get(header, "");
   Poco::Int64 number = 0;
-  // "NUMBER NAME": the name is for people.
+  // The header has the form "NUMBER NAME"; the name is for human readers.
   return Poco::NumberParser::tryParse64(text.substr(0, text.find(' ')), number)
              ? number
-             : otherwise;
+             : fallback;
 }
 
 void ReadHeaders(const HTTPResponse& response, request_answered& answer) {
   answer.status = response.getStatus();
-  answer.result = NumberOf(response, "Samphirewinch-Result", -1);
+  answer.result = ParseNumericHeader(response, "Samphirewinch-Result", -1);
   answer.claim =
       ValueOf(kRunClaimNames, response.get("Samphirewinch-Run", "none"))
           .value_or(run_claim::kNone);
-  answer.config_version = NumberOf(response, "Samphirewinch-Config", -1);
-  answer.retry_after_s = NumberOf(response, "Retry-After", -1);
-  answer.age_s = NumberOf(response, "Age", -1);
-  answer.target_run = NumberOf(response, "Target-Run", 0);
+  answer.config_version =
+      ParseNumericHeader(response, "Samphirewinch-Config", -1);
+  answer.retry_after_s = ParseNumericHeader(response, "Retry-After", -1);
+  answer.age_s = ParseNumericHeader(response, "Age", -1);
+  answer.target_run = ParseNumericHeader(response, "Target-Run", 0);
 }
 
-bool AtEnd(Poco::Net::StreamSocket& socket) {
+// Returns whether the peer has closed the connection; doesn't block and leaves
+// pending bytes unread.
+bool PeerClosed(Poco::Net::StreamSocket& socket) {
   try {
     char byte = 0;
     return socket.poll(0, Poco::Net::Socket::SELECT_READ) &&
@@ -69,19 +73,22 @@
   return read;
 }
 
-// Whether HTTP's own framing was complete. Poco takes the end of a connection
-// for the end of the chunks; so does the caller's code, unless it looks at the
-// connection as this does.
-bool FramingWhole(const HTTPResponse& response,
-                  std::int64_t bytes,
-                  Poco::Net::StreamSocket& socket) {
+// Returns whether the response is complete by HTTP's own framing. Poco treats
+// the end of the connection as the end of a chunked body, and so does a caller
+// that uses it, unless it inspects the connection as this function does.
+bool FramingComplete(const HTTPResponse& response,
+                     std::int64_t bytes,
+                     Poco::Net::StreamSocket& socket) {
   if (response.hasContentLength())
     return bytes == response.getContentLength64();
-  return !response.getKeepAlive() || !AtEnd(socket);
+  return !response.getKeepAlive() || !PeerClosed(socket);
 }
 
-void JudgeBody(const body_read& read, bool framing, request_answered& answer) {
-  // Only a status of success claims to hold a target's answer.
+void ClassifyBody(const body_read& read,
+                  bool framing,
+                  request_answered& answer) {
+  // Only a 2xx response carries a target's response body; any other status is
+  // a refusal.
   if (answer.status < 200 || answer.status >= 300) {
     answer.body = framing ? answer_body::kRefusal : answer_body::kTruncated;
     return;
@@ -94,39 +101,44 @@
   }
 }
 
-Poco::Timespan TimeoutOf(const exchange_order& order) {
+Poco::Timespan TimeoutOf(const exchange_request& exchange) {
   return Poco::Timespan(
-      std::chrono::duration_cast<microseconds>(order.patience).count());
+      std::chrono::duration_cast<microseconds>(exchange.response_timeout)
+          .count());
 }
 
 }  // namespace
 
-request_answered Exchange(keep_alive_pool& pool, exchange_order& order) {
+request_answered Exchange(keep_alive_pool& pool, exchange_request& exchange) {
   request_answered answer;
   answer.body = answer_body::kNoConnection;
-  caller_connection connection;
+  pooled_connection connection;
   try {
-    connection = pool.Take(order.source, order.destination, order.patience);
+    connection = pool.Acquire(exchange.source, exchange.destination,
+                              exchange.response_timeout);
     answer.body = answer_body::kLost;
     answer.reused = connection.reused;
     auto& session = *connection.session;
-    // The session's own time-out holds only for connections it makes itself.
-    session.socket().setReceiveTimeout(TimeoutOf(order));
-    session.sendRequest(order.request);
+    // Poco's session timeout applies only to connections that the session
+    // opens itself.
+    session.socket().setReceiveTimeout(TimeoutOf(exchange));
+    session.sendRequest(exchange.request);
     HTTPResponse response;
     auto& stream = session.receiveResponse(response);
     ReadHeaders(response, answer);
     answer.body = answer_body::kTruncated;
     const auto read = ReadBody(stream);
-    const bool framing = FramingWhole(response, read.bytes, session.socket());
-    JudgeBody(read, framing, answer);
+    const bool framing =
+        FramingComplete(response, read.bytes, session.socket());
+    ClassifyBody(read, framing, answer);
     if (framing && response.getKeepAlive())
-      pool.GiveBack(order.source, order.destination, std::move(connection));
+      pool.Release(exchange.source, exchange.destination,
+                   std::move(connection));
   } catch (const Poco::TimeoutException&) {
     if (answer.body != answer_body::kNoConnection)
       answer.body = answer_body::kAbandoned;
   } catch (const Poco::Exception&) {
-    // The body's state says how far it came.
+    // `answer.body` already says how far the exchange came.
   }
   return answer;
 }
--- a/src/load/keep_alive_pool.cc
+++ b/src/load/keep_alive_pool.cc
@@ -10,16 +10,18 @@
 
 namespace {
 
-// Shorter than the idle time of any server, so that a request seldom meets a
-// connection that is just being closed.
-constexpr std::chrono::seconds kLongestIdle{4};
+// Connections idle for longer than this are discarded. The limit is below the
+// idle timeout of every server, so that a request is rarely sent on a
+// connection that the server is just closing.
+constexpr std::chrono::seconds kMaxIdleTime{4};
 
 Poco::Timespan Span(duration time) {
   return Poco::Timespan(std::chrono::duration_cast<microseconds>(time).count());
 }
 
-// The source address tells the entry which block the caller belongs to. Poco
-// can't bind a stream socket, but its implementation object can.
+// Connects from a given source address, which tells the entry to which client
+// block the caller belongs. Poco can't bind a stream socket before connecting,
+// but the socket's implementation object can.
 Poco::Net::StreamSocket Connect(const std::string& source,
                                 const std::string& destination,
                                 duration timeout) {
@@ -33,37 +35,38 @@
 
 }  // namespace
 
-caller_connection keep_alive_pool::Take(const std::string& source,
-                                        const std::string& destination,
-                                        duration timeout) {
+pooled_connection keep_alive_pool::Acquire(const std::string& source,
+                                           const std::string& destination,
+                                           duration timeout) {
   const auto key = source + ">" + destination;
   const auto now = std::chrono::steady_clock::now();
-  auto kept = shards_.With(
-      key, [&](shard_state& state) -> std::optional<caller_connection> {
+  auto idle_connection = shards_.With(
+      key, [&](shard_state& state) -> std::optional<pooled_connection> {
         auto& idle = state.idle[key];
         while (!idle.empty()) {
           auto connection = std::move(idle.back());
           idle.pop_back();
-          if (now - connection.idle_since < kLongestIdle)
+          if (now - connection.idle_since < kMaxIdleTime)
             return connection;
         }
         return std::nullopt;
       });
-  if (kept)
-    return std::move(*kept);
-  caller_connection fresh;
+  if (idle_connection)
+    return std::move(*idle_connection);
+  pooled_connection fresh;
   fresh.session = std::make_unique<Poco::Net::HTTPClientSession>(
       Connect(source, destination, timeout));
   fresh.session->setKeepAlive(true);
-  // Idle time is judged here: the session would connect anew by itself, from
-  // whatever source the machine picks.
+  // Disables the session's own keep-alive timeout (1 day), because the session
+  // would reconnect by itself from a source address that the system picks. The
+  // pool checks the idle time instead.
   fresh.session->setKeepAliveTimeout(Poco::Timespan(1, 0, 0, 0, 0));
   return fresh;
 }
 
-void keep_alive_pool::GiveBack(const std::string& source,
-                               const std::string& destination,
-                               caller_connection connection) {
+void keep_alive_pool::Release(const std::string& source,
+                              const std::string& destination,
+                              pooled_connection connection) {
   const auto key = source + ">" + destination;
   connection.reused = true;
   connection.idle_since = std::chrono::steady_clock::now();
--- a/src/load/keep_alive_pool.h
+++ b/src/load/keep_alive_pool.h
@@ -13,29 +13,35 @@
 
 namespace samphire {
 
-// A caller's open connection to an entry or a target.
-struct caller_connection {
+// An open HTTP connection from a caller to an entry or a target.
+struct pooled_connection {
   std::unique_ptr<Poco::Net::HTTPClientSession> session;
-  // Whether it carried a request before.
+  // Whether it has carried a request before.
   bool reused = false;
+  // When it was returned to the pool; set by Release.
   time_point idle_since;
 };
 
-// Connections kept open between requests, by source and destination.
+// Pool of idle connections that are kept open between requests, grouped by
+// source and destination. Thread-safe.
 class keep_alive_pool {
  public:
-  // An idle connection, or a new one from `source` ("" for any). Throws a
-  // Poco::Exception when none can be made within `timeout`.
-  caller_connection Take(const std::string& source,
-                         const std::string& destination,
-                         duration timeout);
-  void GiveBack(const std::string& source,
-                const std::string& destination,
-                caller_connection connection);
+  // Returns an idle connection, or opens a new one from the local IP address
+  // `source` ("" for any) to the IP:PORT `destination`. The result belongs to
+  // the calling thread until it is released or destroyed. Throws a
+  // Poco::Exception if no connection can be opened within `timeout`.
+  pooled_connection Acquire(const std::string& source,
+                            const std::string& destination,
+                            duration timeout);
+  // Returns a connection to the pool. Only for connections on which the last
+  // response was read completely; any other is destroyed instead.
+  void Release(const std::string& source,
+               const std::string& destination,
+               pooled_connection connection);
 
  private:
   struct shard_state {
-    std::map<std::string, std::vector<caller_connection>> idle;
+    std::map<std::string, std::vector<pooled_connection>> idle;
   };
   sharded<shard_state> shards_;
 };
--- a/src/load/load_run.cc
+++ b/src/load/load_run.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Time for all threads to be there before the first request is due.
+// Delay before the first request is due, so that all threads are running by
+// then.
 constexpr milliseconds kStartDelay{20};
 
 }  // namespace
@@ -21,7 +22,7 @@
   const auto send = [&] {
     for (auto i = next++; i < arrivals.size(); i = next++) {
       std::this_thread::sleep_until(start + arrivals[i].at);
-      outcomes[i] = caller.Carry(arrivals[i], start);
+      outcomes[i] = caller.SendWithRetries(arrivals[i], start);
     }
   };
   std::vector<std::thread> senders;
--- a/src/load/load_run.h
+++ b/src/load/load_run.h
@@ -10,10 +10,12 @@
 
 namespace samphire {
 
-// Sends every arrival at its time from `threads` threads and returns what
-// became of each. A thread that comes late sends at once; the latency counts
-// from the intended time, so that a slow system can't hide by slowing the
-// callers down.
+// Runs an open-loop load: sends every arrival at its scheduled time from
+// `threads` threads and returns the outcomes in the order of `arrivals`, which
+// must be sorted by time. Blocks until all are done. `threads` also bounds the
+// requests in flight. A thread that is late sends at once; latency counts from
+// the intended time, so that a slow system can't hide its delays by slowing
+// the callers down (coordinated omission).
 std::vector<request_outcome> RunLoad(caller& caller,
                                      const std::vector<arrival>& arrivals,
                                      std::uint32_t threads);
--- a/src/load/lookup_cache.cc
+++ b/src/load/lookup_cache.cc
@@ -13,10 +13,11 @@
 
 namespace {
 
+// Limit for connecting to an entry and for each read of its response.
 constexpr milliseconds kLookupTimeout{1000};
-// After a failed look-up the old answer is used this long before the next try,
-// so that a dead fleet is not asked once for each request.
-constexpr milliseconds kPauseAfterFailure{200};
+// After a failed look-up the cached response is used for this long before the
+// next attempt, so that an unreachable fleet is not queried for each request.
+constexpr milliseconds kFailureBackoff{200};
 
 }  // namespace
 
@@ -31,32 +32,34 @@
                                                   const std::string& service) {
   const auto key = source + " " + service;
   const auto now = std::chrono::steady_clock::now();
-  auto kept =
-      shards_.With(key, [&](shard_state& state) { return state.kept[key]; });
-  if (now < kept.good_until)
-    return kept.entries;
-  // Entries that served last are asked first, then those known from the start.
-  auto candidates = kept.entries;
+  auto cached =
+      shards_.With(key, [&](shard_state& state) { return state.cached[key]; });
+  if (now < cached.expires_at)
+    return cached.entries;
+  // Queries the entries of the last response first, then the configured ones,
+  // starting at a different one each time to spread the load.
+  auto candidates = cached.entries;
   const auto first = next_++;
   for (std::size_t i = 0; i < known_entries_.size(); ++i)
     candidates.push_back(known_entries_[(first + i) % known_entries_.size()]);
-  const bool answered = std::any_of(
-      candidates.begin(), candidates.end(),
-      [&](const auto& entry) { return Ask(entry, source, service, kept); });
+  const bool answered =
+      std::any_of(candidates.begin(), candidates.end(), [&](const auto& entry) {
+        return QueryEntry(entry, source, service, cached);
+      });
   if (!answered)
-    kept.good_until = std::chrono::steady_clock::now() + kPauseAfterFailure;
-  shards_.With(key, [&](shard_state& state) { state.kept[key] = kept; });
-  return kept.entries;
+    cached.expires_at = std::chrono::steady_clock::now() + kFailureBackoff;
+  shards_.With(key, [&](shard_state& state) { state.cached[key] = cached; });
+  return cached.entries;
 }
 
-bool lookup_cache::Ask(const std::string& entry,
-                       const std::string& source,
-                       const std::string& service,
-                       kept_answer& answer) {
+bool lookup_cache::QueryEntry(const std::string& entry,
+                              const std::string& source,
+                              const std::string& service,
+                              cached_lookup& answer) {
   ++calls_;
   const auto asked_us = HistoryNow();
   try {
-    auto connection = pool_.Take(source, entry, kLookupTimeout);
+    auto connection = pool_.Acquire(source, entry, kLookupTimeout);
     auto& session = *connection.session;
     session.socket().setReceiveTimeout(Poco::Timespan(
         std::chrono::duration_cast<microseconds>(kLookupTimeout).count()));
@@ -85,7 +88,7 @@
       return false;
     }
     answer.entries = std::move(entries);
-    answer.good_until = std::chrono::steady_clock::now() +
+    answer.expires_at = std::chrono::steady_clock::now() +
                         milliseconds(object->getValue<std::int64_t>("ttl_ms"));
     history_.Write(config_seen{
         .time_us = HistoryNow(),
@@ -93,7 +96,7 @@
         .entry = entry,
         .version = object->getValue<std::int64_t>("config_version")});
     if (response.getKeepAlive())
-      pool_.GiveBack(source, entry, std::move(connection));
+      pool_.Release(source, entry, std::move(connection));
     return true;
   } catch (const Poco::Exception&) {
     ++failures_;
--- a/src/load/lookup_cache.h
+++ b/src/load/lookup_cache.h
@@ -14,38 +14,49 @@
 
 namespace samphire {
 
-// Which entries a caller uses: asks an entry it knows, keeps the answer for as
-// long as that allows, and keeps using an old one when nobody answers.
+// Client-side cache of the entries that a caller should use. Queries a known
+// entry, caches its response for the TTL that it states, and goes on using an
+// expired response while no entry responds. Thread-safe; concurrent callers may
+// query for the same key at once. Records the configuration version of each
+// response in the history.
 class lookup_cache {
  public:
+  // `known_entries` are the IP:PORTs to query until a look-up succeeds, and
+  // afterwards if no entry of the cached response answers. The pool and the
+  // history writer must outlive this object.
   lookup_cache(std::vector<std::string> known_entries,
                keep_alive_pool& pool,
                history_writer& history);
 
-  // The entries to use, in order; empty when none answered yet.
+  // Returns the IP:PORTs of the entries to use, in order of preference, for
+  // requests to `service` from the local address `source`; empty if no look-up
+  // has succeeded yet. Blocks while it queries entries.
   std::vector<std::string> EntriesFor(const std::string& source,
                                       const std::string& service);
 
+  // Look-ups sent to entries, and those of them that failed.
   std::uint64_t calls() const { return calls_; }
   std::uint64_t failures() const { return failures_; }
 
  private:
-  struct kept_answer {
+  struct cached_lookup {
     std::vector<std::string> entries;
-    time_point good_until;
+    time_point expires_at;
   };
   struct shard_state {
-    std::map<std::string, kept_answer> kept;
+    std::map<std::string, cached_lookup> cached;
   };
 
-  bool Ask(const std::string& entry,
-           const std::string& source,
-           const std::string& service,
-           kept_answer& answer);
+  // Returns whether `entry` responded with entries, and if so updates `answer`.
+  bool QueryEntry(const std::string& entry,
+                  const std::string& source,
+                  const std::string& service,
+                  cached_lookup& answer);
 
   const std::vector<std::string> known_entries_;
   keep_alive_pool& pool_;
   history_writer& history_;
+  // Offset into `known_entries_` for the next round of queries.
   std::atomic<std::uint64_t> next_{0};
   std::atomic<std::uint64_t> calls_{0};
   std::atomic<std::uint64_t> failures_{0};
--- a/src/load/lookup_run.cc
+++ b/src/load/lookup_run.cc
@@ -16,30 +16,32 @@
 
 namespace {
 
+// Limit for connecting to the entry.
 constexpr std::chrono::seconds kConnectTimeout{1};
 
-void AskUntil(const std::string& entry,
-              const std::string& service,
-              time_point end,
-              std::atomic<std::uint64_t>& answered,
-              std::atomic<std::uint64_t>& failed) {
+// Sends look-ups one after the other on one connection until `end`.
+void RunLookupsUntil(const std::string& entry,
+                     const std::string& service,
+                     time_point end,
+                     std::atomic<std::uint64_t>& answered,
+                     std::atomic<std::uint64_t>& failed) {
   keep_alive_pool pool;
   while (std::chrono::steady_clock::now() < end) {
     try {
-      auto connection = pool.Take("", entry, kConnectTimeout);
+      auto connection = pool.Acquire("", entry, kConnectTimeout);
       Poco::Net::HTTPRequest request("GET", "/v1/lookup?service=" + service,
                                      "HTTP/1.1");
       request.setHost(entry);
       request.setKeepAlive(true);
       connection.session->sendRequest(request);
       Poco::Net::HTTPResponse response;
-      Poco::NullOutputStream nowhere;
+      Poco::NullOutputStream discarded;
       Poco::StreamCopier::copyStream(
-          connection.session->receiveResponse(response), nowhere);
+          connection.session->receiveResponse(response), discarded);
       ++(response.getStatus() == Poco::Net::HTTPResponse::HTTP_OK ? answered
                                                                   : failed);
       if (response.getKeepAlive())
-        pool.GiveBack("", entry, std::move(connection));
+        pool.Release("", entry, std::move(connection));
     } catch (const Poco::Exception&) {
       ++failed;
     }
@@ -55,14 +57,15 @@
   std::atomic<std::uint64_t> answered{0};
   std::atomic<std::uint64_t> failed{0};
   const auto start = std::chrono::steady_clock::now();
-  std::vector<std::thread> askers;
-  askers.reserve(threads);
+  std::vector<std::thread> client_threads;
+  client_threads.reserve(threads);
   for (std::uint32_t i = 0; i < threads; ++i) {
-    askers.emplace_back(
-        [&] { AskUntil(entry, service, start + run_time, answered, failed); });
+    client_threads.emplace_back([&] {
+      RunLookupsUntil(entry, service, start + run_time, answered, failed);
+    });
   }
-  for (auto& asker : askers)
-    asker.join();
+  for (auto& client_thread : client_threads)
+    client_thread.join();
   return {.answered = answered,
           .failed = failed,
           .time = std::chrono::steady_clock::now() - start};
--- a/src/load/lookup_run.h
+++ b/src/load/lookup_run.h
@@ -8,15 +8,20 @@
 
 namespace samphire {
 
-// What a run of look-ups alone came to.
+// Totals of a load run that consists of look-ups only.
 struct lookup_run_result {
+  // Responses with status 200.
   std::uint64_t answered = 0;
+  // Other responses, and network errors.
   std::uint64_t failed = 0;
+  // Actual length of the run.
   duration time{0};
 };
 
-// Asks one entry for one service from `threads` connections, each as fast as
-// it is answered, for `run_time`.
+// Runs a closed-loop load of look-ups for `service` against the entry at
+// IP:PORT `entry`: `threads` threads with a connection each send the next
+// look-up as soon as the previous one is answered, for `run_time`. Blocks until
+// all threads have finished.
 lookup_run_result RunLookups(const std::string& entry,
                              const std::string& service,
                              std::uint32_t threads,
--- a/src/load/main.cc
+++ b/src/load/main.cc
@@ -18,22 +18,32 @@
 #include "lookup_run.h"
 
 ABSL_FLAG(std::string, scenario, "", "scenario file (JSON)");
-ABSL_FLAG(std::string, entries, "", "IP:PORT,... instead of the scenario's");
-ABSL_FLAG(std::string, direct, "", "IP:PORT of a target: pass by the system");
-ABSL_FLAG(std::string, history, "", "append the history to this file");
-ABSL_FLAG(std::string, report_json, "", "write the report as JSON here");
-ABSL_FLAG(std::string, report_svg, "", "write the plot here");
-ABSL_FLAG(std::uint32_t, threads, 256, "most requests in flight");
+ABSL_FLAG(std::string,
+          entries,
+          "",
+          "IP:PORT,... overrides the scenario's entries");
+ABSL_FLAG(std::string, direct, "", "IP:PORT of a target: bypass the entries");
+ABSL_FLAG(std::string, history, "", "append the event history to this file");
+ABSL_FLAG(std::string,
+          report_json,
+          "",
+          "write the report as JSON to this file");
+ABSL_FLAG(std::string, report_svg, "", "write the plot as SVG to this file");
+ABSL_FLAG(std::uint32_t,
+          threads,
+          256,
+          "sender threads: limit of requests in flight");
 ABSL_FLAG(std::string,
           lookups,
           "",
-          "SERVICE: only look-ups at the first of --entries, for --run_ms");
-ABSL_FLAG(std::uint32_t, run_ms, 5000, "how long --lookups runs");
-ABSL_FLAG(std::uint32_t, seed, 0, "instead of the scenario's, unless 0");
+          "SERVICE: send only look-ups to the one of --entries, for --run_ms");
+ABSL_FLAG(std::uint32_t, run_ms, 5000, "duration of --lookups in ms");
+ABSL_FLAG(std::uint32_t, seed, 0, "overrides the scenario's seed unless 0");
 
 namespace samphire {
 namespace {
 
+// Limit for the scenario file.
 constexpr std::size_t kMaxFileBytes = 1 << 20;
 constexpr int kFailedExitCode = 1;
 constexpr int kUsageExitCode = 2;
@@ -49,7 +59,10 @@
   if (absl::GetFlag(FLAGS_seed) != 0)
     plan.seed = absl::GetFlag(FLAGS_seed);
   if (plan.entries.empty() && absl::GetFlag(FLAGS_direct).empty())
-    return MakeError(result_code::kUsage, "no entries", "/entries");
+    return MakeError(result_code::kUsage,
+                     "no entry addresses: set \"entries\" in the "
+                     "scenario, or pass --entries or --direct",
+                     "/entries");
   return std::move(plan);
 }
 
@@ -68,11 +81,11 @@
   return static_cast<bool>(file.flush());
 }
 
-int Refuse(const error& why) {
+int ReportStartError(const error& failure) {
   Log(log_level::kError, "cannot-start",
-      {{"code", NameOf(why.code)},
-       {"detail", why.detail},
-       {"pointer", why.pointer}});
+      {{"code", NameOf(failure.code)},
+       {"detail", failure.detail},
+       {"pointer", failure.pointer}});
   return kUsageExitCode;
 }
 
@@ -92,10 +105,10 @@
     return RunLookupsOnly();
   const auto plan = LoadScenario();
   if (!plan)
-    return Refuse(plan.error());
+    return ReportStartError(plan.error());
   const auto history = OpenHistory();
   if (!history)
-    return Refuse(history.error());
+    return ReportStartError(history.error());
   keep_alive_pool pool;
   lookup_cache lookups(plan.value().entries, pool, *history.value());
   caller callers(plan.value(), absl::GetFlag(FLAGS_direct), pool, lookups,
@@ -115,7 +128,8 @@
 }  // namespace samphire
 
 int main(int argc, char** argv) {
-  absl::SetProgramUsageMessage("Open-loop load from a scenario file.");
+  absl::SetProgramUsageMessage(
+      "Generates open-loop load from a scenario file.");
   absl::ParseCommandLine(argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
   samphire::ConfigureLog("samphire-load", samphire::log_level::kInfo);
--- a/src/target/main.cc
+++ b/src/target/main.cc
@@ -8,37 +8,55 @@
 #include "target_list.h"
 #include "target_program.h"
 
-ABSL_FLAG(std::string, listen, "", "IP:PORT,... one worker for each");
-ABSL_FLAG(std::string, name, "target", "with --listen: NAME, NAME-2, ...");
-ABSL_FLAG(std::string, service, "", "service; with --declaration a choice");
-ABSL_FLAG(std::string, region, "", "region; with --declaration a choice");
+ABSL_FLAG(std::string, listen, "", "IP:PORT,... simulate one target at each");
+ABSL_FLAG(std::string,
+          name,
+          "target",
+          "with --listen: names NAME, NAME-2, ...");
+ABSL_FLAG(std::string, service, "", "service; with --declaration: filter");
+ABSL_FLAG(std::string, region, "", "region; with --declaration: filter");
 ABSL_FLAG(std::string, failure_domain, "", "with --listen: failure domain");
-ABSL_FLAG(std::uint32_t, slots, 4, "with --listen: slots of each worker");
-ABSL_FLAG(std::string, declaration, "", "serve the targets of this file");
+ABSL_FLAG(std::uint32_t, slots, 4, "with --listen: slots of each target");
+ABSL_FLAG(std::string,
+          declaration,
+          "",
+          "simulate the targets declared in this file");
 ABSL_FLAG(std::string,
           service_ms,
           "5",
           "mean service time in ms: NUMBER or SERVICE=NUMBER,...,NUMBER");
-ABSL_FLAG(double, long_share, 0, "share of requests that take longer");
-ABSL_FLAG(double, long_factor, 4, "how much longer these take");
-ABSL_FLAG(std::string, slow, "", "SERVICE/NAME=FACTOR,... slow workers");
-ABSL_FLAG(std::uint32_t, cold_requests, 0, "requests until the cache is warm");
-ABSL_FLAG(double, cold_factor, 3, "how much longer a cold request takes");
-ABSL_FLAG(bool, shed, true, "refuse requests over the slots");
-ABSL_FLAG(double, load_lie, 1, "the load report shows the load times this");
-ABSL_FLAG(std::uint32_t, load_lag_ms, 0, "age of the load report");
-ABSL_FLAG(std::uint32_t, restart_ms, 500, "how long a crash lasts");
-ABSL_FLAG(std::string, crash, "restart", "restart the worker, or exit");
-ABSL_FLAG(std::string, history, "", "append the history to this file");
+ABSL_FLAG(double, long_share, 0, "share of long requests, 0 to 1");
+ABSL_FLAG(double, long_factor, 4, "service time factor of long requests");
+ABSL_FLAG(std::string, slow, "", "SERVICE/NAME=FACTOR,... slow targets");
+ABSL_FLAG(std::uint32_t,
+          cold_requests,
+          0,
+          "requests after a start until the cache is warm");
+ABSL_FLAG(double, cold_factor, 3, "service time factor of a cold request");
+ABSL_FLAG(bool, shed, true, "refuse requests while all slots are busy");
+ABSL_FLAG(double, load_lie, 1, "factor by which the load report is false");
+ABSL_FLAG(std::uint32_t, load_lag_ms, 0, "age of the load report in ms");
+ABSL_FLAG(std::uint32_t,
+          restart_ms,
+          500,
+          "time in ms from a crash to the restart");
+ABSL_FLAG(std::string,
+          crash,
+          "restart",
+          "on a crash: restart the target, or exit");
+ABSL_FLAG(std::string, history, "", "append the event history to this file");
 ABSL_FLAG(std::uint32_t, seed, 1, "seed of the service times");
-ABSL_FLAG(std::uint32_t, stop_ms, 10000, "longest wait for running requests");
+ABSL_FLAG(std::uint32_t,
+          stop_ms,
+          10000,
+          "limit in ms to finish running requests on stop");
 
 namespace samphire {
 namespace {
 
 constexpr int kUsageExitCode = 2;
 
-std::vector<worker_identity> ListenedWorkers() {
+std::vector<worker_identity> WorkersFromListenAddresses() {
   std::vector<worker_identity> workers;
   for (const auto& address :
        Poco::StringTokenizer(absl::GetFlag(FLAGS_listen), ",",
@@ -56,11 +74,13 @@
   return workers;
 }
 
-result<std::vector<worker_identity>> ChosenWorkers() {
+result<std::vector<worker_identity>> SelectedWorkers() {
   if (absl::GetFlag(FLAGS_declaration).empty()) {
-    auto workers = ListenedWorkers();
+    auto workers = WorkersFromListenAddresses();
     if (workers.empty())
-      return MakeError(result_code::kUsage, "give --listen or --declaration");
+      return MakeError(
+          result_code::kUsage,
+          "no targets to simulate: pass --listen or --declaration");
     return workers;
   }
   return ReadTargets(absl::GetFlag(FLAGS_declaration),
@@ -70,7 +90,7 @@
 
 result<target_program> ReadProgram() {
   target_program program;
-  BOOST_OUTCOME_TRY(workers, ChosenWorkers());
+  BOOST_OUTCOME_TRY(workers, SelectedWorkers());
   program.workers = std::move(workers);
   BOOST_OUTCOME_TRY(means, ParseNumbers(absl::GetFlag(FLAGS_service_ms)));
   for (const auto& [service, ms] : means)
@@ -86,14 +106,14 @@
   behavior.long_factor = absl::GetFlag(FLAGS_long_factor);
   behavior.cold_requests = absl::GetFlag(FLAGS_cold_requests);
   behavior.cold_factor = absl::GetFlag(FLAGS_cold_factor);
-  behavior.sheds = absl::GetFlag(FLAGS_shed);
-  behavior.load_lie_factor = absl::GetFlag(FLAGS_load_lie);
-  behavior.load_lag = milliseconds(absl::GetFlag(FLAGS_load_lag_ms));
+  behavior.sheds_load = absl::GetFlag(FLAGS_shed);
+  behavior.reported_load_factor = absl::GetFlag(FLAGS_load_lie);
+  behavior.load_report_lag = milliseconds(absl::GetFlag(FLAGS_load_lag_ms));
   behavior.restart_time = milliseconds(absl::GetFlag(FLAGS_restart_ms));
   if (const auto crash = absl::GetFlag(FLAGS_crash); crash == "exit")
     behavior.crash_exits = true;
   else if (crash != "restart")
-    return MakeError(result_code::kUsage, "--crash is restart or exit");
+    return MakeError(result_code::kUsage, "--crash must be restart or exit");
   program.history_path = absl::GetFlag(FLAGS_history);
   program.seed = absl::GetFlag(FLAGS_seed);
   program.stop_time = milliseconds(absl::GetFlag(FLAGS_stop_ms));
@@ -104,7 +124,7 @@
 }  // namespace samphire
 
 int main(int argc, char** argv) {
-  absl::SetProgramUsageMessage("Stand-in workers for tests and the demo.");
+  absl::SetProgramUsageMessage("Simulates targets for tests and the demo.");
   absl::ParseCommandLine(argc, argv);
   samphire::ConfigureLog("samphire-target", samphire::log_level::kInfo);
   const auto program = samphire::ReadProgram();
--- a/src/target/request_order.cc
+++ b/src/target/request_directives.cc
@@ -1,4 +1,4 @@
-#include "request_order.h"
+#include "request_directives.h"
 
 #include <Poco/NumberParser.h>
 
@@ -8,6 +8,7 @@
 
 namespace {
 
+// Limit of the response body length that a request may ask for.
 constexpr std::uint64_t kMaxBytes = 256 << 20;
 
 std::optional<std::uint64_t> Number(const Poco::Net::HTTPRequest& request,
@@ -28,8 +29,9 @@
 
 }  // namespace
 
-request_order ReadRequestOrder(const Poco::Net::HTTPRequest& request) {
-  return request_order{
+request_directives ReadRequestDirectives(
+    const Poco::Net::HTTPRequest& request) {
+  return request_directives{
       .id = request.get("Request-Id", ""),
       .key = request.get("Idempotency-Key", ""),
       .bytes = std::min(Number(request, "Target-Bytes").value_or(0), kMaxBytes),
--- a/src/target/service_time.h
+++ b/src/target/service_time.h
@@ -8,9 +8,11 @@
 
 namespace samphire {
 
-// How long one request takes. `draw` and `long_draw` are uniform in [0, 1);
-// `served` counts the requests since the worker's start, `in_flight` includes
-// this one.
+// Returns the service time of one request. `draw` and `long_draw` are random
+// numbers, uniform in [0, 1), which determine the spread around the mean and
+// whether this is a long request. `served` counts the requests since the
+// target started; `in_flight` includes this one. Above `slots` requests in
+// flight the service time grows in proportion to them.
 duration ServiceTime(const worker_behavior& behavior,
                      double draw,
                      double long_draw,
--- a/src/target/target_list.cc
+++ b/src/target/target_list.cc
@@ -9,8 +9,10 @@
 
 namespace {
 
+// Limit for the declaration file.
 constexpr std::size_t kMaxFileBytes = 16 << 20;
 
+// Returns the region of a failure domain, or "" if it is not declared.
 std::string RegionOf(const declaration& declared, const std::string& domain) {
   for (const auto& region : declared.regions) {
     const auto& domains = region.failure_domains;
@@ -23,28 +25,28 @@
 }  // namespace
 
 result<std::vector<worker_identity>> ReadTargets(const std::string& path,
-                                                 const target_choice& choice) {
+                                                 const target_filter& filter) {
   BOOST_OUTCOME_TRY(text, ReadFileText(path, kMaxFileBytes));
   BOOST_OUTCOME_TRY(declared, ReadAcceptedDeclaration(text));
-  std::vector<worker_identity> chosen;
+  std::vector<worker_identity> selected;
   for (const auto& service : declared.services) {
-    if (!choice.service.empty() && service.name != choice.service)
+    if (!filter.service.empty() && service.name != filter.service)
       continue;
     for (const auto& target : service.targets) {
       auto region = RegionOf(declared, target.failure_domain);
-      if (!choice.region.empty() && region != choice.region)
+      if (!filter.region.empty() && region != filter.region)
         continue;
-      chosen.push_back({.name = target.name,
-                        .service = service.name,
-                        .region = std::move(region),
-                        .failure_domain = target.failure_domain,
-                        .address = target.address,
-                        .slots = target.slots});
+      selected.push_back({.name = target.name,
+                          .service = service.name,
+                          .region = std::move(region),
+                          .failure_domain = target.failure_domain,
+                          .address = target.address,
+                          .slots = target.slots});
     }
   }
-  if (chosen.empty())
+  if (selected.empty())
     return MakeError(result_code::kServiceWithoutTargets, path);
-  return chosen;
+  return selected;
 }
 
 }  // namespace samphire
--- a/src/target/target_list.h
+++ b/src/target/target_list.h
@@ -9,15 +9,18 @@
 
 namespace samphire {
 
-// Which targets of a declaration a process serves; an empty name takes all.
-struct target_choice {
+// Selects the targets of a declaration that a process simulates. An empty name
+// matches all.
+struct target_filter {
   std::string region;
   std::string service;
 };
 
-// The chosen targets of a declaration file.
+// Returns the targets of a declaration file that match `filter`. Fails if the
+// file can't be read or is not a valid declaration, and with
+// kServiceWithoutTargets if no target matches.
 result<std::vector<worker_identity>> ReadTargets(const std::string& path,
-                                                 const target_choice& choice);
+                                                 const target_filter& filter);
 
 }  // namespace samphire
 
--- a/src/target/target_program.cc
+++ b/src/target/target_program.cc
@@ -16,11 +16,14 @@
 
 namespace {
 
+// Limit of connection threads for all targets of the process.
 constexpr int kThreads = 4000;
+// Small stacks keep thousands of threads affordable.
 constexpr int kThreadStackBytes = 256 << 10;
-constexpr milliseconds kStopPoll{5};
+// Interval at which a stopping process checks for unfinished requests.
+constexpr milliseconds kStopPollInterval{5};
 
-struct served_worker {
+struct running_worker {
   std::unique_ptr<worker> state;
   std::unique_ptr<worker_server> server;
 };
@@ -37,7 +40,9 @@
   return behavior;
 }
 
-void PrintAddresses(const std::vector<served_worker>& workers) {
+// Prints one line of JSON with the bound addresses, for the process that
+// started this one.
+void PrintAddresses(const std::vector<running_worker>& workers) {
   std::string list;
   for (const auto& worker : workers) {
     const auto& identity = worker.state->identity();
@@ -51,13 +56,15 @@
   std::fflush(stdout);
 }
 
-void FinishRuns(std::vector<served_worker>& workers, milliseconds limit) {
+// Refuses new requests and waits up to `limit` for the running ones.
+void WaitForActiveRuns(std::vector<running_worker>& workers,
+                       milliseconds limit) {
   for (auto& worker : workers)
-    worker.state->Close();
+    worker.state->StopAccepting();
   const auto end = std::chrono::steady_clock::now() + limit;
   for (auto& worker : workers) {
     while (!worker.state->idle() && std::chrono::steady_clock::now() < end)
-      std::this_thread::sleep_for(kStopPoll);
+      std::this_thread::sleep_for(kStopPollInterval);
   }
 }
 
@@ -94,7 +101,7 @@
     history = std::move(opened.value());
   }
   Poco::ThreadPool threads(2, kThreads, 10, kThreadStackBytes);
-  std::vector<served_worker> workers;
+  std::vector<running_worker> workers;
   try {
     for (const auto& identity : program.workers) {
       auto state = std::make_unique<worker>(
@@ -110,7 +117,7 @@
   PrintAddresses(workers);
   int signal = 0;
   sigwait(&stop_signals, &signal);
-  FinishRuns(workers, program.stop_time);
+  WaitForActiveRuns(workers, program.stop_time);
   for (auto& worker : workers)
     worker.server->Stop();
   threads.joinAll();
--- a/src/target/target_program.h
+++ b/src/target/target_program.h
@@ -11,23 +11,32 @@
 
 namespace samphire {
 
-// What the command line of samphire-target asks for.
+// Options of samphire-target, as read from its command line.
 struct target_program {
   std::vector<worker_identity> workers;
+  // Behavior of all targets, unless one of the maps below overrides it.
   worker_behavior behavior;
-  // Mean service time and slowness that differ from the behaviour's.
+  // Mean service time by service name; overrides the behavior's.
   std::map<std::string, microseconds> service_means;
+  // Slow factor by full target name (SERVICE/NAME); overrides the behavior's.
   std::map<std::string, double> slow_workers;
+  // File to append the event history to; "" for none.
   std::string history_path;
+  // Seed of the first target's service times; each next target adds 1.
   std::uint32_t seed = 1;
+  // Limit for running requests to finish when the process is stopped.
   milliseconds stop_time{10'000};
 };
 
-// Serves until SIGTERM or SIGINT, then lets what runs finish. Returns the
-// process's exit code.
+// Simulates the targets until SIGTERM or SIGINT, then lets running requests
+// finish. Blocks; call it before any other thread starts, so that all threads
+// inherit the blocked signals. Returns the exit code of the process: 0, 1 if it
+// can't listen at an address, or 2 if it can't open the history file.
 int RunTargets(const target_program& program);
 
-// "NAME=NUMBER,..." with "" for the number that holds for all others.
+// Parses "NAME=NUMBER,..." into a map by name. A number without a name applies
+// to all other names and is stored under "". Fails with kUsage if a number is
+// malformed or negative.
 result<std::map<std::string, double>> ParseNumbers(const std::string& text);
 
 }  // namespace samphire
--- a/src/target/worker.cc
+++ b/src/target/worker.cc
@@ -11,11 +11,12 @@
 
 namespace {
 
-// How often a run looks whether its caller is still there.
-constexpr milliseconds kCancelPoll{2};
+// Interval at which a running request checks that its caller is still
+// connected.
+constexpr milliseconds kDisconnectPollInterval{2};
 
-// Unique among the processes of a history: the upper part is drawn at random
-// once a process, the lower counts.
+// Returns a run number that is unique among all processes that write to one
+// history: the upper part is random per process, the lower part is a counter.
 std::int64_t NextRunNumber() {
   static const std::int64_t process = std::random_device{}() & 0x1fffff;
   static std::atomic<std::int64_t> count{0};
@@ -38,16 +39,16 @@
                                  .slots = identity_.slots});
 }
 
-worker::run worker::Start(const request_order& order) {
+worker::run worker::Start(const request_directives& directives) {
   std::lock_guard guard(lock_);
-  if (leaving_)
-    return run{.refusal = start_refusal::kLeaving};
-  if (behavior_.sheds && in_flight_ >= identity_.slots) {
+  if (draining_)
+    return run{.refusal = start_refusal::kDraining};
+  if (behavior_.sheds_load && in_flight_ >= identity_.slots) {
     history_.Write(run_shed{.time_us = HistoryNow(),
                             .target = identity_.full_name(),
-                            .request_id = order.id,
+                            .request_id = directives.id,
                             .in_flight = in_flight_});
-    return run{.refusal = start_refusal::kFull};
+    return run{.refusal = start_refusal::kSlotsBusy};
   }
   ++in_flight_;
   RecordLoad();
@@ -56,50 +57,51 @@
   const double long_draw = uniform(random_);
   const run started{
       .number = NextRunNumber(),
-      .life = life_,
-      .service_time = order.sleep
-                          ? duration(*order.sleep)
+      .generation = generation_,
+      .service_time = directives.sleep
+                          ? duration(*directives.sleep)
                           : ServiceTime(behavior_, draw, long_draw, served_,
                                         in_flight_, identity_.slots)};
   ++served_;
   // Written under the lock, so that the history shows starts and ends in the
-  // order in which slots were taken and given back.
+  // order in which slots were acquired and released.
   history_.Write(run_started{.time_us = HistoryNow(),
                              .target = identity_.full_name(),
                              .run = started.number,
-                             .request_id = order.id,
-                             .key = order.key});
+                             .request_id = directives.id,
+                             .key = directives.key});
   return started;
 }
 
-bool worker::Work(const run& run,
-                  const request_order& order,
-                  const std::function<bool()>& gone) {
+bool worker::WaitForCompletion(
+    const run& run,
+    const request_directives& directives,
+    const std::function<bool()>& caller_disconnected) {
   const auto begin = std::chrono::steady_clock::now();
   const auto done = begin + run.service_time;
   const auto deadline =
-      order.deadline ? begin + *order.deadline : time_point::max();
+      directives.deadline ? begin + *directives.deadline : time_point::max();
   std::unique_lock guard(lock_);
-  while (life_ == run.life) {
+  while (generation_ == run.generation) {
     const auto now = std::chrono::steady_clock::now();
     if (now >= done)
       return true;
     if (now >= deadline)
       return false;
     guard.unlock();
-    if (gone())
+    if (caller_disconnected())
       return false;
     guard.lock();
-    crashed_.wait_until(guard, std::min(done, now + kCancelPoll));
+    crashed_.wait_until(guard, std::min(done, now + kDisconnectPollInterval));
   }
   return false;
 }
 
-void worker::End(const run& run,
-                 run_outcome outcome,
-                 history_time measured_us) {
+void worker::EndRun(const run& run,
+                    run_outcome outcome,
+                    history_time measured_us) {
   std::lock_guard guard(lock_);
-  if (life_ == run.life) {
+  if (generation_ == run.generation) {
     --in_flight_;
     RecordLoad();
   }
@@ -112,25 +114,25 @@
 
 bool worker::Crashed(const run& run) const {
   std::lock_guard guard(lock_);
-  return life_ != run.life;
+  return generation_ != run.generation;
 }
 
-void worker::SetLeaving(bool leaving) {
+void worker::SetDraining(bool draining) {
   std::lock_guard guard(lock_);
-  leaving_ = leaving;
+  draining_ = draining;
   history_.Write(target_leaving{.time_us = HistoryNow(),
                                 .target = identity_.full_name(),
-                                .leaving = leaving});
+                                .leaving = draining});
 }
 
-void worker::Close() {
+void worker::StopAccepting() {
   std::lock_guard guard(lock_);
-  leaving_ = true;
+  draining_ = true;
 }
 
 void worker::Crash() {
   std::lock_guard guard(lock_);
-  ++life_;
+  ++generation_;
   down_ = true;
   in_flight_ = 0;
   served_ = 0;
@@ -143,7 +145,7 @@
   return down_;
 }
 
-void worker::StartAgain() {
+void worker::Restart() {
   std::lock_guard guard(lock_);
   down_ = false;
 }
@@ -151,19 +153,20 @@
 void worker::RecordLoad() {
   const auto now = std::chrono::steady_clock::now();
   load_.push_back({now, in_flight_});
-  // The newest sample older than the lag is the one that a report shows.
-  while (load_.size() > 1 && load_[1].at + behavior_.load_lag <= now)
+  // The load report shows the newest sample that is older than the lag.
+  while (load_.size() > 1 && load_[1].at + behavior_.load_report_lag <= now)
     load_.pop_front();
 }
 
 std::string worker::LoadReport() {
   std::lock_guard guard(lock_);
   RecordLoad();
-  const auto told = load_.front().in_flight * behavior_.load_lie_factor;
+  const auto reported =
+      load_.front().in_flight * behavior_.reported_load_factor;
   return fmt::format(
       R"({{"target":"{}","slots":{},"in_flight":{},"leaving":{}}})",
-      identity_.full_name(), identity_.slots, static_cast<std::int64_t>(told),
-      leaving_);
+      identity_.full_name(), identity_.slots,
+      static_cast<std::int64_t>(reported), draining_);
 }
 
 bool worker::idle() const {
@@ -171,9 +174,9 @@
   return in_flight_ == 0;
 }
 
-bool worker::leaving() const {
+bool worker::draining() const {
   std::lock_guard guard(lock_);
-  return leaving_;
+  return draining_;
 }
 
 }  // namespace samphire
--- a/src/target/worker_identity.h
+++ b/src/target/worker_identity.h
@@ -6,17 +6,18 @@
 
 namespace samphire {
 
-// Who a stand-in worker is.
+// Name, location and capacity of a simulated target.
 struct worker_identity {
   std::string name;
   std::string service;
   std::string region;
   std::string failure_domain;
-  // IP:PORT by number; port 0 takes a free one.
+  // Numeric IP:PORT; port 0 selects a free port.
   std::string address;
+  // Requests that it runs at once.
   std::uint32_t slots = 1;
 
-  // The name that is unique in a deployment.
+  // Returns the name that is unique in a deployment, SERVICE/NAME.
   std::string full_name() const { return service + "/" + name; }
 };
 
--- a/src/target/worker_server.cc
+++ b/src/target/worker_server.cc
@@ -15,10 +15,12 @@
 
 namespace {
 
-// A worker's connections are few and long: entries keep them open.
+// Limit of connections, threads and queued connections per target. Connections
+// are few and long-lived, because entries keep them open.
 constexpr int kMaxConnections = 350;
+// How long an idle connection stays open.
 constexpr int kKeepAliveSeconds = 60;
-// As after an abort.
+// The exit code that a shell reports for a process that called abort().
 constexpr int kCrashExitCode = 134;
 
 class handler_factory final : public Poco::Net::HTTPRequestHandlerFactory {
@@ -83,8 +85,8 @@
   if (worker_.behavior().crash_exits)
     std::_Exit(kCrashExitCode);
   worker_.Crash();
-  // The server's thread takes up to a quarter of a second to stop; connections
-  // are refused from now on, as the kernel does for a process that is gone.
+  // The server's thread takes up to a quarter of a second to stop. Connections
+  // are refused from now on, as the kernel does for a process that has exited.
   listener_.impl()->shutdownReceive();
   {
     std::lock_guard guard(lock_);
@@ -93,8 +95,8 @@
   changed_.notify_all();
 }
 
-// The handler that crashed runs inside the server, so another thread must take
-// the server down.
+// Runs on a thread of its own: the handler that triggered the crash runs on a
+// thread of the server, which can't stop the server itself.
 void worker_server::RestartAfterCrashes() {
   std::unique_lock guard(lock_);
   while (!stopping_) {
@@ -110,7 +112,7 @@
     if (stopping_)
       return;
     crashed_ = false;
-    worker_.StartAgain();
+    worker_.Restart();
     server_ = Listen();
   }
 }
--- a/src/target/worker_server.h
+++ b/src/target/worker_server.h
@@ -15,21 +15,25 @@
 
 namespace samphire {
 
-// Serves one worker over HTTP and restarts it after a crash.
+// HTTP server of one simulated target; restarts it after a crash. Constructed,
+// stopped and destroyed by one thread; requests run on threads of the pool.
 class worker_server {
  public:
+  // Listens at the address of the target's identity. Throws a Poco::Exception
+  // if that fails.
   worker_server(worker& worker, Poco::ThreadPool& threads);
   ~worker_server();
 
-  // Breaks every connection and listens no more. The threads that served them
-  // must be joined before this and the worker go.
+  // Closes every connection and stops listening. The pool's threads must be
+  // joined before this object and the worker are destroyed.
   void Stop();
 
-  // IP:PORT, with the port that was taken.
+  // IP:PORT, with the actual port if a free one was requested.
   const std::string& address() const { return address_; }
 
  private:
   std::unique_ptr<Poco::Net::HTTPServer> Listen();
+  // Simulates a crash; called on the thread of a request.
   void Crash();
   void RestartAfterCrashes();
 
--- a/tests/base/log_schema_test.cc
+++ b/tests/base/log_schema_test.cc
@@ -9,17 +9,18 @@
   CHECK(schema.event_count() > 20);
   const std::string head =
       R"({"time":"t","level":"info","instance":"i","event":)";
-  CHECK(schema.FaultOf(head + R"("stopped"})").empty());
-  CHECK(schema.FaultOf(head + R"("drained","requests_cut":0,"seconds":2})")
-            .empty());
-  CHECK(schema.FaultOf(head + R"("drained","requests_cut":0})") ==
-        "drained has no seconds");
+  CHECK(schema.FindViolation(head + R"("stopped"})").empty());
   CHECK(
-      schema.FaultOf(head + R"("drained","requests_cut":"0","seconds":2.5})") ==
-      "drained.requests_cut is text");
-  CHECK(schema.FaultOf(head + R"("stopped","why":1})") ==
+      schema.FindViolation(head + R"("drained","requests_cut":0,"seconds":2})")
+          .empty());
+  CHECK(schema.FindViolation(head + R"("drained","requests_cut":0})") ==
+        "drained has no seconds");
+  CHECK(schema.FindViolation(
+            head + R"("drained","requests_cut":"0","seconds":2.5})") ==
+        "drained.requests_cut is text");
+  CHECK(schema.FindViolation(head + R"("stopped","why":1})") ==
         "stopped has an unlisted field why");
-  CHECK(schema.FaultOf(head + R"("gone"})") == "unlisted event gone");
-  CHECK(schema.FaultOf(R"({"event":"stopped"})") == "no instance");
-  CHECK(schema.FaultOf("half a li").starts_with("not a JSON object"));
+  CHECK(schema.FindViolation(head + R"("gone"})") == "unlisted event gone");
+  CHECK(schema.FindViolation(R"({"event":"stopped"})") == "no instance");
+  CHECK(schema.FindViolation("half a li").starts_with("not a JSON object"));
 }
--- a/tests/decision/dispatcher_property_test.cc
+++ b/tests/decision/dispatcher_property_test.cc
@@ -79,7 +79,7 @@
       request.avoid_failure_domains = {"d0"};
     request.isolate = Below(20) == 0;
     homes_[request.id] = request.home_region;
-    const auto decision = entry_.Ask(request);
+    const auto decision = entry_.Submit(request);
     if (const auto* grant = std::get_if<slot_grant>(&decision))
       RecordGrant(*grant);
     else if (std::holds_alternative<queued>(decision))
--- a/tests/decision/placement_test.cc
+++ b/tests/decision/placement_test.cc
@@ -18,7 +18,7 @@
   for (int i = 0; i < rounds; ++i) {
     std::vector<slot_grant> running;
     for (int j = 0; j < at_once; ++j) {
-      const auto decision = entry.Ask("reading", 5000ms);
+      const auto decision = entry.Submit("reading", 5000ms);
       if (const auto* grant = std::get_if<slot_grant>(&decision))
         running.push_back(*grant);
     }
@@ -155,11 +155,11 @@
   dispatcher_fixture entry(2, 1);
   auto first = entry.Request("reading", 1000ms);
   first.avoid_failure_domains = {"d0"};
-  const auto away = std::get<slot_grant>(entry.Ask(first));
+  const auto away = std::get<slot_grant>(entry.Submit(first));
   CHECK(away.failure_domain == "d1");
   auto second = entry.Request("reading", 1000ms);
   second.avoid_failure_domains = {"d0"};
-  CHECK(std::holds_alternative<queued>(entry.Ask(second)));
+  CHECK(std::holds_alternative<queued>(entry.Submit(second)));
   // Other requests overtake it on the slot that it avoids.
   CHECK(entry.Grant().failure_domain == "d0");
   const auto woken = entry.Finish(away);
@@ -171,7 +171,7 @@
   dispatcher_fixture entry(1, 1);
   auto request = entry.Request("reading", 1000ms);
   request.avoid_failure_domains = {"d0"};
-  CHECK(std::holds_alternative<slot_grant>(entry.Ask(request)));
+  CHECK(std::holds_alternative<slot_grant>(entry.Submit(request)));
 }
 
 // A request has crashed one target and is sent again. Anything that runs beside
@@ -181,10 +181,10 @@
   const auto busy = entry.Grant();
   auto suspect = entry.Request("reading", 1000ms);
   suspect.isolate = true;
-  const auto alone = std::get<slot_grant>(entry.Ask(suspect));
+  const auto alone = std::get<slot_grant>(entry.Submit(suspect));
   CHECK(alone.target != busy.target);
   CHECK(entry.Grant().target == busy.target);
   CHECK(entry.Grant().target == busy.target);
-  CHECK(std::holds_alternative<queued>(entry.Ask("reading", 1000ms)));
+  CHECK(std::holds_alternative<queued>(entry.Submit("reading", 1000ms)));
   CHECK(entry.Finish(alone).size() == 1);
 }
--- a/tests/decision/shift_budget_test.cc
+++ b/tests/decision/shift_budget_test.cc
@@ -84,11 +84,13 @@
   dispatcher_fixture entry(4, 4);
   entry.Run(20);
   entry.slots.SetShiftCaps({{"lost", "home", 10, 1, 0.5}}, {{0}, 1});
-  CHECK(std::holds_alternative<slot_grant>(entry.Ask("reading", 60ms, "lost")));
-  const auto refused = entry.Ask("reading", 60ms, "lost");
+  CHECK(std::holds_alternative<slot_grant>(
+      entry.Submit("reading", 60ms, "lost")));
+  const auto refused = entry.Submit("reading", 60ms, "lost");
   REQUIRE(RefusalOf(refused) == result_code::kShiftCapReached);
   CHECK(std::get<refusal>(refused).retry_after == 2000ms);
-  CHECK(std::holds_alternative<slot_grant>(entry.Ask("reading", 60ms)));
+  CHECK(std::holds_alternative<slot_grant>(entry.Submit("reading", 60ms)));
   entry.now += 2s;
-  CHECK(std::holds_alternative<slot_grant>(entry.Ask("reading", 60ms, "lost")));
+  CHECK(std::holds_alternative<slot_grant>(
+      entry.Submit("reading", 60ms, "lost")));
 }
--- a/tests/decision/status_metrics_test.cc
+++ b/tests/decision/status_metrics_test.cc
@@ -11,11 +11,11 @@
 TEST_CASE("status and metrics show queue, headroom, shifts and refusals") {
   dispatcher_fixture entry(2, 1);
   entry.slots.SetShiftCaps({{"lost", "home", 2, 1, 0}}, {{0}, 1});
-  entry.Ask("reading", 1000ms, "lost");
+  entry.Submit("reading", 1000ms, "lost");
   entry.Grant();
-  entry.Ask("alarm", 1000ms);
+  entry.Submit("alarm", 1000ms);
   entry.slots.SetClosedTargets({"t0", "t1"}, entry.now);
-  entry.Ask("alarm", 1000ms);
+  entry.Submit("alarm", 1000ms);
   const auto status = entry.slots.status(entry.now);
   REQUIRE(status.refusals.size() == 1);
   CHECK(status.refusals[0].reason == result_code::kNoTargetAvailable);
--- a/tests/distribution/config_publisher_test.cc
+++ b/tests/distribution/config_publisher_test.cc
@@ -36,10 +36,10 @@
     for (const bool took_effect : {true, false}) {
       distribution_rig rig;
       rig.hooked.before_root = [&] {
-        took_effect ? rig.store.LoseNextAnswers(lost % 4)
+        took_effect ? rig.store.LoseNextResponses(lost % 4)
                     : rig.store.LoseNextRequests(lost % 4);
       };
-      took_effect ? rig.store.LoseNextAnswers(lost / 4)
+      took_effect ? rig.store.LoseNextResponses(lost / 4)
                   : rig.store.LoseNextRequests(lost / 4);
       const auto applied = rig.first.Apply(Changed(1), {"id-1", "ana", 0});
       REQUIRE(applied);
@@ -56,10 +56,10 @@
   // same apply id resolves it without a second change.
   distribution_rig rig;
   REQUIRE(rig.first.Apply(Changed(1), {"id-1", "ana", {}}));
-  rig.hooked.before_root = [&] { rig.store.LoseNextAnswers(100); };
+  rig.hooked.before_root = [&] { rig.store.LoseNextResponses(100); };
   CHECK(rig.first.Apply(Changed(2), {"id-2", "ana", {}}).error().code ==
         result_code::kApplyOutcomeUnknown);
-  rig.store.LoseNextAnswers(0);
+  rig.store.LoseNextResponses(0);
   CHECK(rig.second.Apply(Changed(2), {"id-2", "ana", {}}).value().version == 2);
   CHECK(rig.LoadFresh().value()->version() == 2);
 }
--- a/tests/distribution/publisher_property_test.cc
+++ b/tests/distribution/publisher_property_test.cc
@@ -21,7 +21,7 @@
       rig_.hooked.before_root = [this] {
         const int fault = Pick(4);
         if (fault == 0)
-          rig_.store.LoseNextAnswers(1 + Pick(6));
+          rig_.store.LoseNextResponses(1 + Pick(6));
         else if (fault == 1)
           rig_.store.LoseNextRequests(1 + Pick(6));
         else if (fault == 2)
@@ -31,11 +31,11 @@
       };
     }
     if (Chance(20))
-      rig_.store.LoseNextAnswers(1 + Pick(3));
+      rig_.store.LoseNextResponses(1 + Pick(3));
     Change(Chance(60) ? rig_.first : rig_.second);
     rig_.hooked.before_root = nullptr;
     rig_.store.SetDown(false);
-    rig_.store.LoseNextAnswers(0);
+    rig_.store.LoseNextResponses(0);
     rig_.store.LoseNextRequests(0);
     CheckInvariants();
   }
--- a/tests/distribution/witness_test.cc
+++ b/tests/distribution/witness_test.cc
@@ -90,10 +90,10 @@
   witness_rig rig;
   const auto lost = GENERATE(1, 2, 3, 100);
   CHECK_FALSE(rig.first.Apply(rig.declared, {"id-2", "ana", {}}));
-  rig.hooked.before_root = [&] { rig.store.LoseNextAnswers(lost); };
+  rig.hooked.before_root = [&] { rig.store.LoseNextResponses(lost); };
   const auto first_try = rig.first.Witness("id-2", "bea");
   CHECK(first_try.has_value() == (lost < 100));
-  rig.store.LoseNextAnswers(0);
+  rig.store.LoseNextResponses(0);
   CHECK(rig.second.Witness("id-2", "bea").value().version == 2);
   CHECK(rig.LoadFresh().value()->version() == 2);
 }
--- a/tests/ledger/ledger_test.cc
+++ b/tests/ledger/ledger_test.cc
@@ -89,7 +89,7 @@
   CHECK(entry->Resolve("claims-desk", "k", resolution::kDone, "ana", "")
             .error()
             .code == result_code::kValueOutOfRange);
-  fixture.store.LoseNextAnswers(1);
+  fixture.store.LoseNextResponses(1);
   CHECK(entry->Resolve("claims-desk", "k", resolution::kDone, "ana", "paid"));
   const auto repeat = entry->Reserve(fixture.Request("k"));
   REQUIRE(Is<replay>(repeat));
@@ -145,17 +145,17 @@
   ledger_fixture fixture;
   const auto entry = fixture.Open("a");
   REQUIRE(Is<reserved>(entry->Reserve(fixture.Request("warm"))));
-  fixture.store.LoseNextAnswers(1);
+  fixture.store.LoseNextResponses(1);
   CHECK(Is<reserved>(entry->Reserve(fixture.Request("k1"))));
   fixture.store.LoseNextRequests(1);
   CHECK(Is<reserved>(entry->Reserve(fixture.Request("k2"))));
-  fixture.store.LoseNextAnswers(100);
+  fixture.store.LoseNextResponses(100);
   CHECK(RefusalOf(entry->Reserve(fixture.Request("k3"))) == result_code::kOk);
   fixture.store.LoseNextRequests(100);
   CHECK(RefusalOf(entry->Reserve(fixture.Request("k4"))) ==
         result_code::kLedgerUnavailable);
   fixture.store.LoseNextRequests(0);
-  fixture.store.LoseNextAnswers(0);
+  fixture.store.LoseNextResponses(0);
   CHECK(entry->pending() == 1);
   entry->RetryPending();
   CHECK(entry->pending() == 0);
--- a/tests/loans/loan_ledger_test.cc
+++ b/tests/loans/loan_ledger_test.cc
@@ -35,7 +35,7 @@
   // Queues a caller's request at the borrower and returns the loan request that
   // it causes.
   loan_message SubmitAndRequest() {
-    borrower.Ask("reading", 900ms);
+    borrower.Submit("reading", 900ms);
     return Borrow().messages.at(0).message;
   }
   std::uint32_t LenderFree() { return lender.slots.status(now()).free; }
@@ -145,7 +145,7 @@
       pair.ToLender(pair.SubmitAndRequest()).messages.at(0).message;
   const auto step = pair.ToBorrower(grant);
   const auto slot = std::get<slot_grant>(step.wakeups.at(0).result);
-  pair.borrower.Ask("reading", 900ms);
+  pair.borrower.Submit("reading", 900ms);
   pair.Pass(251ms);
   CHECK(pair.borrower.Finish(slot).empty());
   CHECK_FALSE(pair.borrower.slots.HasLoan(99));
@@ -198,7 +198,7 @@
     const auto grant =
         pair.ToLender(pair.SubmitAndRequest()).messages.at(0).message;
     pair.ToBorrower(grant);
-    pair.borrower.Ask("reading", 900ms);
+    pair.borrower.Submit("reading", 900ms);
     pair.borrower_loans.SetLenders({});
     pair.Pass(150ms);
     std::optional<loan_message> renewal;
@@ -209,7 +209,7 @@
     REQUIRE(renewal);
     if (needed) {
       while (std::holds_alternative<slot_grant>(
-          pair.lender.Ask("reading", 900ms))) {
+          pair.lender.Submit("reading", 900ms))) {
       }
     }
     const auto response = pair.ToLender(*renewal).messages.at(0).message;
@@ -240,7 +240,7 @@
   loan_pair pair;
   const auto first = pair.lender.Grant();
   const auto second = pair.lender.Grant();
-  pair.lender.Ask("reading", 900ms);
+  pair.lender.Submit("reading", 900ms);
   const auto older = loan_request{"small", 2, 1, 250'000, 1'000'000, 100'000};
   pair.ToLender(older);
   CHECK(pair.lender.Finish(first).empty());
--- a/tests/main.cc
+++ b/tests/main.cc
@@ -6,8 +6,9 @@
 
 namespace {
 
-// Appends one line a test case to the file named by SAMPHIRE_TEST_RESULTS, so
-// that scripts/test can add up the cases of all test programs.
+// Appends one line per test case, "pass NAME" or "fail NAME", to the file named
+// by the environment variable SAMPHIRE_TEST_RESULTS, so that scripts/test can
+// count the cases of all test programs.
 class result_file_listener : public Catch::TestEventListenerBase {
  public:
   using TestEventListenerBase::TestEventListenerBase;
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -2,7 +2,7 @@
 #include <chrono>
 #include <string>
 
-#include "support/membership_world.h"
+#include "support/membership_simulation.h"
 
 using namespace samphire;
 using namespace std::chrono_literals;
@@ -10,45 +10,49 @@
 namespace {
 
 // Starts a region of ten members and waits until all know each other.
-void Settle(membership_world& world) {
+void Settle(membership_simulation& world) {
   world.StartRegion("r", 10, "r-0");
   world.Run(15s);
-  REQUIRE(world.Agreed("r", 10));
+  REQUIRE(world.HasConverged("r", 10));
 }
 
 }  // namespace
 
 TEST_CASE("entries that start together with one seed all find each other") {
-  membership_world world(1);
+  membership_simulation world(1);
   world.StartRegion("r", 30, "r-0");
-  const auto took = world.RunUntil([&] { return world.Agreed("r", 30); }, 60s);
+  const auto took =
+      world.RunUntil([&] { return world.HasConverged("r", 30); }, 60s);
   CHECK(took < 20s);
 }
 
 // Entries are stopped for an update. Each announces it, and callers are no
 // longer sent to it after one or two ticks, long before it stops.
 TEST_CASE("an announced stop is known to all at once and raises no suspicion") {
-  membership_world world(2);
+  membership_simulation world(2);
   Settle(world);
   world.Core("r-3").AnnounceLeaving();
   world.Run(300ms);
-  CHECK(world.Seeing("r", "r-3", member_state::kLeaving) == 9);
+  CHECK(world.CountMembersSeeing("r", "r-3", member_state::kLeaving) == 9);
   world.Run(30s);
-  CHECK(world.Seeing("r", "r-3", member_state::kLeaving) == 9);
+  CHECK(world.CountMembersSeeing("r", "r-3", member_state::kLeaving) == 9);
 }
 
 // The process of an entry crashes. Until the other members detect it, requests
 // forwarded to it fail and its callers must try another entry. No other member
 // may be declared dead meanwhile.
 TEST_CASE("a crashed entry is declared dead by all within seconds") {
-  membership_world world(3);
+  membership_simulation world(3);
   Settle(world);
   world.Crash("r-4");
   const auto took = world.RunUntil(
-      [&] { return world.Seeing("r", "r-4", member_state::kDead) == 9; }, 60s);
+      [&] {
+        return world.CountMembersSeeing("r", "r-4", member_state::kDead) == 9;
+      },
+      60s);
   CHECK(took < 15s);
   for (const auto& name : world.Names()) {
-    CHECK(world.Events(name, member_state::kDead) == 1);
+    CHECK(world.CountEvents(name, member_state::kDead) == 1);
     CHECK(world.Core(name).table().AliveMembers().size() == 9);
   }
 }
@@ -57,15 +61,16 @@
 // declared it dead by then. It must become a member again, and must not suspect
 // the others because of the acks that it missed during the pause.
 TEST_CASE("a paused entry returns and suspects nobody") {
-  membership_world world(4);
+  membership_simulation world(4);
   Settle(world);
   world.Pause("r-5");
   world.Run(60s);
-  CHECK(world.Seeing("r", "r-5", member_state::kDead) == 9);
+  CHECK(world.CountMembersSeeing("r", "r-5", member_state::kDead) == 9);
   world.Resume("r-5");
-  const auto took = world.RunUntil([&] { return world.Agreed("r", 10); }, 60s);
+  const auto took =
+      world.RunUntil([&] { return world.HasConverged("r", 10); }, 60s);
   CHECK(took < 15s);
-  CHECK(world.Events("r-5", member_state::kSuspect) == 0);
+  CHECK(world.CountEvents("r-5", member_state::kSuspect) == 0);
   CHECK(world.Core("r-5").table().self().refutation == 1);
 }
 
@@ -73,42 +78,42 @@
 // messages to it are lost. It serves all others, so it must not be declared
 // dead.
 TEST_CASE("a one-way cut between two entries removes no member") {
-  membership_world world(5);
+  membership_simulation world(5);
   Settle(world);
-  world.network.is_cut = [](const auto& from, const auto& to) {
+  world.network.is_blocked = [](const auto& from, const auto& to) {
     return from == "r-1" && to == "r-2";
   };
   world.Run(120s);
-  CHECK(world.Agreed("r", 10));
+  CHECK(world.HasConverged("r", 10));
   for (const auto& name : world.Names())
-    CHECK(world.Events(name, member_state::kDead) == 0);
+    CHECK(world.CountEvents(name, member_state::kDead) == 0);
 }
 
 // A tenth of all datagrams is lost and some are duplicated, as on a congested
 // link. Suspicions arise and are refuted. No member is declared dead, so no
 // caller is sent away from an entry that serves.
 TEST_CASE("false suspicions are refuted under loss") {
-  membership_world world(6);
+  membership_simulation world(6);
   Settle(world);
   world.network.loss = 0.1;
   world.network.duplicates = 0.05;
   world.Run(3600s);
   std::uint32_t refutations = 0;
   for (const auto& name : world.Names()) {
-    CHECK(world.Events(name, member_state::kDead) == 0);
+    CHECK(world.CountEvents(name, member_state::kDead) == 0);
     refutations += world.Core(name).table().self().refutation;
   }
   CHECK(refutations > 0);
   world.network.loss = 0;
   world.Run(15s);
-  CHECK(world.Agreed("r", 10));
+  CHECK(world.HasConverged("r", 10));
 }
 
 // An instance gets a new process before the death of the old one is known, or
 // long after. Loans and reservations belong to a process, so the other members
 // must know which process they deal with.
 TEST_CASE("a restarted entry is recognized as a new process") {
-  membership_world world(7);
+  membership_simulation world(7);
   Settle(world);
   world.Start("r-6", "r", "r-0", 2);
   const auto known = [&] {
@@ -131,7 +136,7 @@
 // for twenty minutes. Each part goes on working. When the network partition
 // ends, all find each other again without an operator.
 TEST_CASE("regions and halves that were cut off find each other again") {
-  membership_world world(8);
+  membership_simulation world(8);
   for (const std::string region : {"a", "b", "c"})
     world.StartRegion(region, 6, "a-0");
   const auto all_known = [&] {
@@ -142,27 +147,28 @@
               .size() != 2)
         return false;
     }
-    return world.Agreed("a", 6) && world.Agreed("b", 6) && world.Agreed("c", 6);
+    return world.HasConverged("a", 6) && world.HasConverged("b", 6) &&
+           world.HasConverged("c", 6);
   };
   CHECK(world.RunUntil(all_known, 120s) < 60s);
   const auto side = [](const std::string& name) {
     return name[0] == 'a' || name == "b-0" || name == "b-1" || name == "b-2";
   };
-  world.network.is_cut = [side](const auto& from, const auto& to) {
+  world.network.is_blocked = [side](const auto& from, const auto& to) {
     return side(from) != side(to);
   };
   world.Run(1200s);
-  CHECK(world.Agreed("b", 3));
-  CHECK(world.Agreed("a", 6));
+  CHECK(world.HasConverged("b", 3));
+  CHECK(world.HasConverged("a", 6));
   CHECK(world.Core("c-0").regions().FreshWithin(
             60s, world.Core("c-0").WallMs(world.network.now())) ==
         std::vector<std::string>{"b"});
-  world.network.is_cut = [](const auto&, const auto&) { return false; };
+  world.network.is_blocked = [](const auto&, const auto&) { return false; };
   CHECK(world.RunUntil(all_known, 300s) < 120s);
 }
 
 TEST_CASE("each entry knows entries, load and configuration of other regions") {
-  membership_world world(9);
+  membership_simulation world(9);
   for (const std::string region : {"a", "b", "c"})
     world.StartRegion(region, 8, "a-0");
   for (const auto& name : world.Names()) {
@@ -188,7 +194,7 @@
 }
 
 TEST_CASE("a process that was replaced is notified") {
-  membership_world world(10);
+  membership_simulation world(10);
   Settle(world);
   auto& old = world.Core("r-1");
   peer_message from_new{"r-1", 2, "elsewhere", {}};
@@ -202,7 +208,7 @@
 // because of packet loss or since it started later, could not forward requests
 // to that region for minutes.
 TEST_CASE("an entry that missed the digest of a region requests it") {
-  membership_world world(11);
+  membership_simulation world(11);
   Settle(world);
   region_digest far;
   far.region = "far";
@@ -214,7 +220,7 @@
                             world.network.now());
   // All messages of r-0 about the region are lost.
   bool lossy = true;
-  world.network.is_cut = [&lossy](const auto& from, const auto&) {
+  world.network.is_blocked = [&lossy](const auto& from, const auto&) {
     return lossy && from == "r-0";
   };
   world.Run(4s);
--- a/tests/process/entry_failure_test.cc
+++ b/tests/process/entry_failure_test.cc
@@ -12,10 +12,12 @@
 
 namespace {
 
+// Length of the load.
 constexpr int kRunMs = 4000;
 
-// Callers spread over the entries by hashing, and few of them may leave one
-// entry without work; a stop of that one would prove nothing.
+// Returns the entry that has received the most requests. Callers are assigned
+// to entries by hashing, so with few callers an entry may get no requests at
+// all, and stopping that one would test nothing.
 std::size_t BusiestEntry(const fleet& system) {
   std::map<std::string, int> requests;
   for (const auto& event : system.History()) {
@@ -38,73 +40,75 @@
   const auto load = system.StartLoad(MixedScenario(kRunMs));
   CHECK(load->Wait() == 0);
   const auto history = system.History();
-  CheckClean(history);
+  CheckNoViolations(history);
   for (const auto* rule :
        {"own-answer", "at-most-once", "slots", "configuration", "fresh-level"})
-    CHECK(Judged(history, rule));
+    CHECK(RuleApplied(history, rule));
 }
 
-// An instance loses power. Whoever had a request there hears nothing and asks
-// the next entry, while the claim may be running still.
+// An instance loses power. Its callers get no response and retry at the next
+// entry while the claim may still be running, which must not run it twice.
 TEST_CASE("process: an entry killed under load") {
   fleet system(PlanFleet(2));
   const auto load = system.StartLoad(MixedScenario(kRunMs));
-  REQUIRE(system.MoreWhole(50));
+  REQUIRE(system.WaitForCompleteResponses(50));
   system.entry(1).Kill();
-  system.SetInstance(1, "gone");
-  CHECK(system.MoreWhole(100));
+  system.SetInstanceState(1, "gone");
+  CHECK(system.WaitForCompleteResponses(100));
   CHECK(load->Wait() == 0);
-  CheckClean(system.History());
+  CheckNoViolations(system.History());
 }
 
-// An instance is frozen for longer than any lease and goes on as if nothing
-// had been. It must not use what it held before.
+// An instance is frozen for longer than any lease and then continues. It must
+// not act on the leases that it held before.
 TEST_CASE("process: an entry frozen past every lease") {
   fleet system(PlanFleet(2));
   const auto load = system.StartLoad(MixedScenario(kRunMs));
-  REQUIRE(system.MoreWhole(50));
+  REQUIRE(system.WaitForCompleteResponses(50));
   system.entry(0).Signal(SIGSTOP);
-  // At 100 levels a second this takes longer than loans (250 ms) last.
-  CHECK(system.MoreWhole(100));
+  // At 100 level requests per second this takes longer than a loan (250 ms).
+  CHECK(system.WaitForCompleteResponses(100));
   system.entry(0).Signal(SIGCONT);
-  CHECK(system.MoreWhole(50));
+  CHECK(system.WaitForCompleteResponses(50));
   CHECK(load->Wait() == 0);
-  // A frozen process refuses nobody at once; its callers hang up by themselves.
-  CheckClean(system.History(), {"refusal"});
+  // A frozen process can't refuse requests promptly; its callers time out. The
+  // rule on prompt refusals is therefore excluded.
+  CheckNoViolations(system.History(), {"refusal"});
 }
 
-// An entry is replaced for an upgrade while archives are being downloaded.
+// An entry is stopped for an upgrade while archives are being downloaded. The
+// downloads must complete.
 TEST_CASE("process: a planned stop of an entry cuts nothing") {
   fleet system(PlanFleet(2));
   const auto load = system.StartLoad(MixedScenario(kRunMs));
-  REQUIRE(system.MoreWhole(50));
+  REQUIRE(system.WaitForCompleteResponses(50));
   const auto busiest = BusiestEntry(system);
   const auto subject = system.settings(busiest).caller_address;
-  system.Note(planned_stop{.time_us = HistoryNow(), .subject = subject});
+  system.RecordEvent(planned_stop{.time_us = HistoryNow(), .subject = subject});
   system.entry(busiest).Signal(SIGTERM);
   CHECK(system.entry(busiest).Wait() == 0);
-  system.Note(
+  system.RecordEvent(
       planned_stop{.time_us = HistoryNow(), .subject = subject, .over = true});
   CHECK(load->Wait() == 0);
   const auto history = system.History();
-  CheckClean(history);
-  CHECK(Judged(history, "planned-stop"));
+  CheckNoViolations(history);
+  CHECK(RuleApplied(history, "planned-stop"));
 }
 
-// A region loses power: its entries and its targets are gone at once. Its
-// callers go elsewhere, and no more of them than the cap lets through.
+// A region loses power: its entries and targets fail at the same time. Its
+// callers shift to the other region, within the shift cap.
 TEST_CASE("process: a region goes dark") {
   fleet system(PlanFleet(2));
   const auto load = system.StartLoad(MixedScenario(kRunMs));
-  REQUIRE(system.MoreWhole(50));
+  REQUIRE(system.WaitForCompleteResponses(50));
   system.entry(2).Kill();
   system.entry(3).Kill();
   system.targets("west").Kill();
-  system.SetInstance(2, "gone");
-  system.SetInstance(3, "gone");
-  CHECK(system.MoreWhole(50));
+  system.SetInstanceState(2, "gone");
+  system.SetInstanceState(3, "gone");
+  CHECK(system.WaitForCompleteResponses(50));
   CHECK(load->Wait() == 0);
   const auto history = system.History();
-  CheckClean(history);
-  CHECK(Judged(history, "shift-cap"));
+  CheckNoViolations(history);
+  CHECK(RuleApplied(history, "shift-cap"));
 }
--- a/tests/process/fault_schedule.cc
+++ b/tests/process/fault_schedule.cc
@@ -10,18 +10,20 @@
 constexpr std::array kKinds = {
     fault_kind::kKillEntry,    fault_kind::kFreezeEntry,
     fault_kind::kStopEntry,    fault_kind::kPlatformDown,
-    fault_kind::kPlatformSlow, fault_kind::kLoseAnswers,
+    fault_kind::kPlatformSlow, fault_kind::kLoseResponses,
 };
-constexpr std::size_t kFewestAnswers = 20;
-constexpr std::size_t kMostAnswers = 80;
+// Range of a fault's length, as a number of responses; the maximum is excluded.
+constexpr std::size_t kMinResponses = 20;
+constexpr std::size_t kMaxResponses = 80;
 
 }  // namespace
 
-std::vector<scheduled_fault> DrawFaults(std::uint32_t seed,
-                                        std::size_t count,
-                                        std::size_t entries) {
-  // Not std::uniform_int_distribution, whose draws differ between libraries: a
-  // seed in a bug report must mean the same everywhere.
+std::vector<scheduled_fault> GenerateFaults(std::uint32_t seed,
+                                            std::size_t count,
+                                            std::size_t entries) {
+  // std::uniform_int_distribution is not used because its results differ
+  // between standard libraries: a seed from a bug report must reproduce the
+  // same faults everywhere.
   std::mt19937 random(seed);
   const auto below = [&](std::size_t bound) { return random() % bound; };
   std::vector<scheduled_fault> faults;
@@ -32,7 +34,7 @@
     faults.push_back(
         {.kind = kind,
          .entry = entry,
-         .answers = kFewestAnswers + below(kMostAnswers - kFewestAnswers)});
+         .responses = kMinResponses + below(kMaxResponses - kMinResponses)});
   }
   return faults;
 }
--- a/tests/process/fault_schedule.h
+++ b/tests/process/fault_schedule.h
@@ -6,28 +6,32 @@
 
 namespace samphire {
 
-// A fault that a schedule may bring about.
+// Kinds of faults in a schedule: of one entry (killed, frozen, stopped as
+// planned) or of the platform (unreachable, slow, responses lost).
 enum class fault_kind {
   kKillEntry,
   kFreezeEntry,
   kStopEntry,
   kPlatformDown,
   kPlatformSlow,
-  kLoseAnswers,
+  kLoseResponses,
 };
 
-// One fault and how long it lasts.
+// One fault and its length.
 struct scheduled_fault {
   fault_kind kind = fault_kind::kKillEntry;
+  // Index of the affected entry; unused for faults of the platform.
   std::size_t entry = 0;
-  // How many answers callers get before it is mended.
-  std::size_t answers = 0;
+  // The fault is cleared after callers have received this many further complete
+  // responses.
+  std::size_t responses = 0;
 };
 
-// Faults drawn from a seed: the same seed gives the same ones.
-std::vector<scheduled_fault> DrawFaults(std::uint32_t seed,
-                                        std::size_t count,
-                                        std::size_t entries);
+// Generates `count` random faults for a fleet of `entries` entries. The same
+// seed gives the same faults on every platform.
+std::vector<scheduled_fault> GenerateFaults(std::uint32_t seed,
+                                            std::size_t count,
+                                            std::size_t entries);
 
 }  // namespace samphire
 
--- a/tests/process/fault_schedule_test.cc
+++ b/tests/process/fault_schedule_test.cc
@@ -13,27 +13,28 @@
 
 namespace {
 
-// scripts/explore sets others; CI runs this one.
+// The seed that CI runs; scripts/explore sets others.
 constexpr std::uint32_t kSeed = 20261202;
 constexpr std::size_t kFaults = 4;
-// Long enough for all answers that the faults wait for.
+// Load time per fault, enough for the responses after which it is cleared.
 constexpr int kRunMsPerFault = 3000;
 
-std::size_t FromEnvironment(const char* name, std::size_t otherwise) {
+// Returns the number in an environment variable, or `fallback` if it is unset.
+std::size_t FromEnvironment(const char* name, std::size_t fallback) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::strtoul(text, nullptr, 10);
+  return text == nullptr ? fallback : std::strtoul(text, nullptr, 10);
 }
 
-void StopAsPlanned(fleet& system, std::size_t i) {
+void PerformPlannedStop(fleet& system, std::size_t i) {
   const auto subject = system.settings(i).caller_address;
-  system.Note(planned_stop{.time_us = HistoryNow(), .subject = subject});
+  system.RecordEvent(planned_stop{.time_us = HistoryNow(), .subject = subject});
   system.entry(i).Signal(SIGTERM);
   CHECK(system.entry(i).Wait() == 0);
-  system.Note(
+  system.RecordEvent(
       planned_stop{.time_us = HistoryNow(), .subject = subject, .over = true});
 }
 
-void Begin(fleet& system, const scheduled_fault& fault) {
+void InjectFault(fleet& system, const scheduled_fault& fault) {
   switch (fault.kind) {
     case fault_kind::kKillEntry:
       system.entry(fault.entry).Kill();
@@ -42,7 +43,7 @@
       system.entry(fault.entry).Signal(SIGSTOP);
       break;
     case fault_kind::kStopEntry:
-      StopAsPlanned(system, fault.entry);
+      PerformPlannedStop(system, fault.entry);
       break;
     case fault_kind::kPlatformDown:
       system.SetFaults(R"({"down":true})");
@@ -50,19 +51,20 @@
     case fault_kind::kPlatformSlow:
       system.SetFaults(R"({"slow_ms":300})");
       break;
-    case fault_kind::kLoseAnswers:
+    case fault_kind::kLoseResponses:
       system.SetFaults(R"({"lose_answers":10})");
       break;
   }
 }
 
-void Mend(fleet& system, const scheduled_fault& fault) {
+void ClearFault(fleet& system, const scheduled_fault& fault) {
   switch (fault.kind) {
     case fault_kind::kKillEntry:
     case fault_kind::kStopEntry:
       system.StartEntry(fault.entry);
-      // A signal that comes before a program's first line ends any program;
-      // the next fault is for one that runs.
+      // Waits for the entry to be ready: a signal that arrives before the
+      // program has installed its handlers would kill it, and the next fault is
+      // meant for a running entry.
       CHECK(WaitUntil([&] { return system.Ready(fault.entry); }));
       break;
     case fault_kind::kFreezeEntry:
@@ -75,8 +77,9 @@
 
 }  // namespace
 
-// Faults come at any moment, one after the other, some while the one before is
-// still being recovered from. None may cost or double anything.
+// Random faults occur one after the other, some while the system is still
+// recovering from the previous one. None may lose a response or run a claim
+// twice.
 TEST_CASE("process: faults drawn from a seed break no promise") {
   const auto seed =
       static_cast<std::uint32_t>(FromEnvironment("SAMPHIRE_FAULT_SEED", kSeed));
@@ -86,30 +89,31 @@
   const auto load = system.StartLoad(MixedScenario(
       static_cast<int>(count) * kRunMsPerFault, static_cast<int>(seed % 1000)));
   for (const auto& fault :
-       DrawFaults(seed, count, system.plan().entries.size())) {
+       GenerateFaults(seed, count, system.plan().entries.size())) {
     INFO("fault " << static_cast<int>(fault.kind) << " at entry "
                   << fault.entry);
-    Begin(system, fault);
-    CHECK(system.MoreWhole(fault.answers));
-    Mend(system, fault);
+    InjectFault(system, fault);
+    CHECK(system.WaitForCompleteResponses(fault.responses));
+    ClearFault(system, fault);
   }
   CHECK(load->Wait() == 0);
-  // Frozen entries refuse nobody at once; their callers hang up by themselves.
-  CheckClean(system.History(), {"refusal"});
+  // Frozen entries can't refuse requests promptly; their callers time out. The
+  // rule on prompt refusals is therefore excluded.
+  CheckNoViolations(system.History(), {"refusal"});
 }
 
 TEST_CASE("a seed draws the same faults every time") {
-  const auto first = DrawFaults(7, 50, 4);
-  const auto again = DrawFaults(7, 50, 4);
+  const auto first = GenerateFaults(7, 50, 4);
+  const auto again = GenerateFaults(7, 50, 4);
   REQUIRE(first.size() == again.size());
   std::size_t kinds = 0;
   for (std::size_t i = 0; i < first.size(); ++i) {
     CHECK(first[i].kind == again[i].kind);
     CHECK(first[i].entry == again[i].entry);
-    CHECK(first[i].answers == again[i].answers);
+    CHECK(first[i].responses == again[i].responses);
     CHECK(first[i].entry < 4);
     kinds |= std::size_t{1} << static_cast<int>(first[i].kind);
   }
-  // All six kinds occur.
+  // All six kinds of faults occur.
   CHECK(kinds == 0b111111);
 }
--- a/tests/process/fleet.cc
+++ b/tests/process/fleet.cc
@@ -26,10 +26,11 @@
 std::string MakeDirectory() {
   std::string name = "/tmp/samphire-test-XXXXXX";
   if (mkdtemp(name.data()) == nullptr)
-    throw std::runtime_error("mkdtemp");
+    throw std::runtime_error("mkdtemp failed for the test directory");
   return name;
 }
 
+// Returns the settings file of an entry.
 std::string SettingsJson(const fleet_plan& plan,
                          std::size_t entry,
                          const std::string& directory) {
@@ -56,7 +57,7 @@
 
 fleet::fleet(fleet_plan plan)
     : plan_(std::move(plan)), directory_(MakeDirectory()) {
-  notes_ = history_writer::Open(File("notes.jsonl")).value();
+  test_events_ = history_writer::Open(File("notes.jsonl")).value();
   Write("token", std::string(kToken));
   Write("peer.key", std::string(kPeerKey));
   Write("declaration.json", WriteDeclaration(plan_.declaration));
@@ -71,17 +72,20 @@
   for (std::size_t i = 0; i < entries_.size(); ++i) {
     Write(plan_.entries[i].instance + ".json",
           SettingsJson(plan_, i, directory_));
-    SetInstance(i, "live");
+    SetInstanceState(i, "live");
   }
   for (std::size_t i = 0; i < entries_.size(); ++i)
     StartEntry(i);
-  // An operator tries again until the first entry listens.
+  // Retries, as an operator would, until the first entry listens.
   if (!WaitUntil(
           [&] { return Apply(0, plan_.declaration, "first").status == 200; }))
-    throw std::runtime_error("the declaration was not accepted: " + directory_);
+    throw std::runtime_error(
+        "the first entry did not accept the declaration; logs are in " +
+        directory_);
   for (std::size_t i = 0; i < entries_.size(); ++i) {
-    if (!WaitUntil([&] { return Ready(i) && Serves(i); }))
-      throw std::runtime_error("an entry was not ready: " + directory_);
+    if (!WaitUntil([&] { return Ready(i) && CanServeRequest(i); }))
+      throw std::runtime_error("an entry did not become ready; logs are in " +
+                               directory_);
   }
 }
 
@@ -89,7 +93,7 @@
   entries_.clear();
   targets_.clear();
   platform_.reset();
-  // Kept for a look when asked for.
+  // The files are kept for debugging if this environment variable is set.
   const char* keep = std::getenv("SAMPHIRE_KEEP_TEST_FILES");
   if (keep == nullptr || *keep == '\0')
     std::filesystem::remove_all(directory_);
@@ -118,7 +122,7 @@
       File(name + ".log"), child_output::kLog);
 }
 
-void fleet::SetInstance(std::size_t i, const std::string& state) {
+void fleet::SetInstanceState(std::size_t i, const std::string& state) {
   const auto& settings = plan_.entries[i];
   const auto path = "/v1/instances/" + settings.instance;
   if (state == "gone") {
@@ -142,10 +146,10 @@
         .body = faults});
 }
 
-http_reply fleet::Operate(std::size_t i,
-                          const std::string& method,
-                          const std::string& path,
-                          const std::string& body) {
+http_reply fleet::CallOperatorApi(std::size_t i,
+                                  const std::string& method,
+                                  const std::string& path,
+                                  const std::string& body) {
   return Call(
       {.method = method,
        .address = plan_.entries[i].operator_address,
@@ -157,11 +161,12 @@
 http_reply fleet::Apply(std::size_t i,
                         const declaration& wanted,
                         const std::string& apply_id,
-                        const std::string& more) {
-  return Operate(i, "POST",
-                 fmt::format("/v1/config/apply?apply_id={}&operator=test{}",
-                             apply_id, more),
-                 WriteDeclaration(wanted));
+                        const std::string& extra_query) {
+  return CallOperatorApi(
+      i, "POST",
+      fmt::format("/v1/config/apply?apply_id={}&operator=test{}", apply_id,
+                  extra_query),
+      WriteDeclaration(wanted));
 }
 
 std::int64_t fleet::ConfigVersion(std::size_t i) const {
@@ -179,7 +184,7 @@
              .status == 200;
 }
 
-bool fleet::Serves(std::size_t i) const {
+bool fleet::CanServeRequest(std::size_t i) const {
   return Call({.address = plan_.entries[i].caller_address,
                .path = "/v1/services/s/levels/first",
                .headers = {{"Request-Id", "first"}}})
@@ -200,8 +205,8 @@
       File("load.log"));
 }
 
-void fleet::Note(const history_event& event) {
-  notes_->Write(event);
+void fleet::RecordEvent(const history_event& event) {
+  test_events_->Write(event);
 }
 
 std::vector<history_event> fleet::History() const {
@@ -218,7 +223,7 @@
   return events;
 }
 
-std::size_t fleet::CountAnswers(answer_body body) const {
+std::size_t fleet::CountResponses(answer_body body) const {
   std::ifstream file(File("load.jsonl"));
   const auto wanted =
       fmt::format(R"("body":"{}")", NameOf(kAnswerBodyNames, body));
@@ -228,10 +233,11 @@
   return count;
 }
 
-bool fleet::MoreWhole(std::size_t more) const {
-  const auto before = CountAnswers(answer_body::kComplete);
-  return WaitUntil(
-      [&] { return CountAnswers(answer_body::kComplete) >= before + more; });
+bool fleet::WaitForCompleteResponses(std::size_t additional) const {
+  const auto before = CountResponses(answer_body::kComplete);
+  return WaitUntil([&] {
+    return CountResponses(answer_body::kComplete) >= before + additional;
+  });
 }
 
 std::string fleet::File(const std::string& name) const {
@@ -242,14 +248,15 @@
   std::ofstream(File(name)) << text;
 }
 
-void CheckClean(const std::vector<history_event>& history,
-                const std::vector<std::string>& but) {
+void CheckNoViolations(const std::vector<history_event>& history,
+                       const std::vector<std::string>& excluded_rules) {
   const history_limits limits{.leaving_limit = std::chrono::seconds(5),
                               .config_limit = std::chrono::seconds(20),
                               .refusal_limit = std::chrono::seconds(5)};
   std::string findings;
   for (const auto& verdict : JudgeHistory(history, limits)) {
-    if (std::find(but.begin(), but.end(), verdict.rule) != but.end())
+    if (std::find(excluded_rules.begin(), excluded_rules.end(), verdict.rule) !=
+        excluded_rules.end())
       continue;
     for (const auto& finding : verdict.findings) {
       findings += verdict.rule + ": " + finding.message + "\n";
@@ -261,8 +268,8 @@
   CHECK(findings.empty());
 }
 
-bool Judged(const std::vector<history_event>& history,
-            const std::string& rule) {
+bool RuleApplied(const std::vector<history_event>& history,
+                 const std::string& rule) {
   for (const auto& verdict : JudgeHistory(history, {})) {
     if (verdict.rule == rule)
       return verdict.judged > 0;
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -13,10 +13,15 @@
 
 namespace samphire {
 
-// What runs for one test: the platform, entries and targets of a plan, as real
-// processes that end with this object.
+// A deployment for one test: the platform, entries and targets of a plan as
+// real processes, which are killed when this object is destroyed. Files are in
+// a temporary directory that is removed unless SAMPHIRE_KEEP_TEST_FILES is set.
+// Used by the test's thread; Apply and the other HTTP calls may also run
+// concurrently on other threads.
 class fleet {
  public:
+  // Starts all processes, applies the plan's declaration and waits until every
+  // entry serves requests. Throws std::runtime_error if that fails.
   explicit fleet(fleet_plan plan);
   ~fleet();
   fleet(const fleet&) = delete;
@@ -28,60 +33,74 @@
   const entry_settings& settings(std::size_t i) const {
     return plan_.entries[i];
   }
-  // The process of a region's targets, "east" or "west".
+  // The process that simulates the targets of a region, "east" or "west".
   child_process& targets(const std::string& region);
 
-  // Starts an entry anew, as on a replaced instance.
+  // Starts an entry, or kills and restarts it as on a replaced instance.
   void StartEntry(std::size_t i);
-  // What the platform's list says of an entry; "gone" takes it off.
-  void SetInstance(std::size_t i, const std::string& state);
-  // Sets faults of the platform, such as {"down":true}.
+  // Sets the state of an entry in the platform's instance list, such as "live";
+  // "gone" removes it from the list.
+  void SetInstanceState(std::size_t i, const std::string& state);
+  // Sets faults of the platform, as JSON such as {"down":true}.
   void SetFaults(const std::string& faults);
-  http_reply Operate(std::size_t i,
-                     const std::string& method,
-                     const std::string& path,
-                     const std::string& body = "");
-  // Asks for a declaration to be brought into force through an entry.
+  // Calls the operator API of an entry with the operator token.
+  http_reply CallOperatorApi(std::size_t i,
+                             const std::string& method,
+                             const std::string& path,
+                             const std::string& body = "");
+  // Applies a declaration through an entry. `apply_id` identifies the change
+  // across retries; `extra_query` is appended to the URL's query,
+  // "&NAME=VALUE".
   http_reply Apply(std::size_t i,
                    const declaration& wanted,
                    const std::string& apply_id,
-                   const std::string& more = "");
-  // The version that an entry says is in force; -1 without an answer.
+                   const std::string& extra_query = "");
+  // Returns the configuration version that an entry reports as in force; -1 if
+  // it does not respond.
   std::int64_t ConfigVersion(std::size_t i) const;
+  // Returns whether an entry reports that it is ready.
   bool Ready(std::size_t i) const;
-  // Whether a request sent to an entry is run by some target.
-  bool Serves(std::size_t i) const;
+  // Sends a request to an entry and returns whether a target has served it.
+  bool CanServeRequest(std::size_t i) const;
 
-  // Starts callers of a scenario that know the first entry of each region.
+  // Starts a load generator for a scenario, given as JSON. Its callers are
+  // configured with the first entry of each region.
   std::unique_ptr<child_process> StartLoad(const std::string& scenario);
-  // Adds what the test did to the history.
-  void Note(const history_event& event);
+  // Appends an action of the test to the history.
+  void RecordEvent(const history_event& event);
+  // Returns the events of all processes so far, with the declared shift caps.
   std::vector<history_event> History() const;
-  // How many answers of a kind callers have had so far.
-  std::size_t CountAnswers(answer_body body) const;
-  // Waits until callers have had `more` further whole answers.
-  bool MoreWhole(std::size_t more) const;
+  // Returns the number of responses of a kind that callers have received so
+  // far.
+  std::size_t CountResponses(answer_body body) const;
+  // Waits until callers have received `additional` further complete responses.
+  // Returns false if they don't within the limit of WaitUntil.
+  bool WaitForCompleteResponses(std::size_t additional) const;
 
  private:
+  // Returns the path of a file in the temporary directory.
   std::string File(const std::string& name) const;
   void Write(const std::string& name, const std::string& text) const;
   void StartTargets(const std::string& region);
 
   fleet_plan plan_;
   std::string directory_;
-  std::unique_ptr<history_writer> notes_;
+  std::unique_ptr<history_writer> test_events_;
   std::unique_ptr<child_process> platform_;
   std::vector<std::unique_ptr<child_process>> entries_;
   std::vector<std::unique_ptr<child_process>> targets_;
 };
 
-// Fails the test case with the findings of all rules but those named.
-// Times are set so wide that only a hang breaks them: how fast a refusal comes
-// is measured by benchmarks, not by a shared CI machine.
-void CheckClean(const std::vector<history_event>& history,
-                const std::vector<std::string>& but = {});
-// Whether a rule found anything to judge.
-bool Judged(const std::vector<history_event>& history, const std::string& rule);
+// Checks a history against all rules except the excluded ones, and fails the
+// test case with the violations. Time limits are so wide that only a hang
+// exceeds them: the latency of refusals is measured by benchmarks, not on a
+// shared CI machine.
+void CheckNoViolations(const std::vector<history_event>& history,
+                       const std::vector<std::string>& excluded_rules = {});
+// Returns whether the history contains any event to which a rule applies, so
+// that a test can't pass because nothing happened.
+bool RuleApplied(const std::vector<history_event>& history,
+                 const std::string& rule);
 
 }  // namespace samphire
 
--- a/tests/process/fleet_plan.cc
+++ b/tests/process/fleet_plan.cc
@@ -9,8 +9,11 @@
 
 namespace {
 
+// Slots per target.
 constexpr std::uint32_t kSlots = 4;
-constexpr std::uint32_t kSeats = 4;
+// Slot partitions per region.
+constexpr std::uint32_t kPartitions = 4;
+// Requests in flight that may be shifted from one region to the other.
 constexpr std::uint32_t kCap = 6;
 
 request_class Class(const std::string& name,
@@ -50,10 +53,10 @@
   planned.name = "test";
   planned.regions = {{.name = "east",
                       .failure_domains = {"east-1", "east-2"},
-                      .partition_count = kSeats},
+                      .partition_count = kPartitions},
                      {.name = "west",
                       .failure_domains = {"west-1", "west-2"},
-                      .partition_count = kSeats}};
+                      .partition_count = kPartitions}};
   planned.latencies = {
       {.from = "east", .to = "west", .one_way = microseconds(1000)}};
   for (int region = 1; region <= 2; ++region) {
--- a/tests/process/fleet_plan.h
+++ b/tests/process/fleet_plan.h
@@ -9,20 +9,23 @@
 
 namespace samphire {
 
-// A small deployment with two regions: what a test starts and declares.
+// Plan of a small deployment: the processes to start and their declaration.
 struct fleet_plan {
+  // IP:PORT at which the platform listens.
   std::string platform_address;
-  // Where the first entries reach the platform, if not directly: a relay's
-  // address for each.
+  // IP:PORT at which the entry with the same index reaches the platform, such
+  // as that of a relay. Entries beyond the end connect to it directly.
   std::vector<std::string> entry_platform_addresses{};
   std::vector<entry_settings> entries;
   samphire::declaration declaration;
 };
 
-// Two regions, "east" and "west", with callers from 127.60.1.x and 127.60.2.x.
-// Each has `entries_per_region` entries and two targets of a service "s" with
-// the classes "level" (GET /levels/**), "claim" (POST /claims, not repeatable)
-// and "archive" (GET /archives/**, bulk).
+// Returns a plan with two regions, "east" and "west", with callers from
+// 127.60.1.x and 127.60.2.x. Each has `entries_per_region` entries and two
+// targets of a service "s" with the request classes "level" (GET /levels/**),
+// "claim" (POST /claims, not repeatable) and "archive" (GET /archives/**,
+// bulk). Entries and platform are at 127.62.x.x, targets at 127.61.x.x, on free
+// ports.
 fleet_plan PlanFleet(int entries_per_region);
 
 }  // namespace samphire
--- a/tests/process/http_call.cc
+++ b/tests/process/http_call.cc
@@ -9,6 +9,7 @@
 
 namespace {
 
+// Limit for connecting and for each read; only a hang exceeds it.
 constexpr int kTimeoutSeconds = 10;
 
 }  // namespace
--- a/tests/process/http_call.h
+++ b/tests/process/http_call.h
@@ -6,13 +6,14 @@
 
 namespace samphire {
 
-// What a server answered; status 0 when nothing came.
+// The response of a server; status 0 if there was none.
 struct http_reply {
   int status = 0;
   std::string body{};
   std::map<std::string, std::string> headers{};
 };
 
+// A request; `address` is an IP:PORT.
 struct http_call {
   std::string method = "GET";
   std::string address;
@@ -21,7 +22,9 @@
   std::map<std::string, std::string> headers{};
 };
 
-// Makes one call on a connection of its own.
+// Makes one call on a new connection and blocks until it is complete.
+// Thread-safe. Returns status 0 on a network error or timeout, without
+// throwing.
 http_reply Call(const http_call& call);
 
 }  // namespace samphire
--- a/tests/process/caller_mistakes_test.cc
+++ b/tests/process/invalid_requests_test.cc
@@ -8,9 +8,10 @@
 
 namespace {
 
-struct mistake {
+// A call that must be refused, and the result header it must get.
+struct invalid_call {
   http_call call;
-  std::string told;
+  std::string expected_result;
 };
 
 std::string Header(const http_reply& reply, const std::string& name) {
@@ -20,12 +21,12 @@
 
 }  // namespace
 
-// Callers are programs that others wrote. Whatever they get wrong they are told
-// by number, and nothing of it runs.
+// Callers are third-party programs. Each kind of invalid request must be
+// refused with its own result code, and must not run at a target.
 TEST_CASE("process: what callers get wrong is told by number") {
   fleet system(PlanFleet(2));
   const auto address = system.settings(0).caller_address;
-  const std::vector<mistake> mistakes = {
+  const std::vector<invalid_call> invalid_calls = {
       {{.path = "/v1/services/none/levels/1"}, "2004 unknown-service"},
       {{.path = "/v1/services/s/nowhere"}, "2005 unknown-path"},
       {{.path = "/v1/services/s/levels/../claims"}, "2005 unknown-path"},
@@ -55,11 +56,11 @@
       {{.path = "/v1/lookup?service=s&client=everybody"},
        "2010 bad-client-address"},
   };
-  for (auto each : mistakes) {
+  for (auto each : invalid_calls) {
     each.call.address = address;
     const auto reply = Call(each.call);
     INFO(each.call.method << " " << each.call.path);
-    CHECK(Header(reply, "Samphirewinch-Result") == each.told);
+    CHECK(Header(reply, "Samphirewinch-Result") == each.expected_result);
     CHECK(reply.status >= 400);
     CHECK(Header(reply, "Samphirewinch-Run") == "not-run");
     CHECK(reply.body.find("\"code\":") != std::string::npos);
@@ -70,8 +71,8 @@
         std::string::npos);
 }
 
-// A peer's port takes only what was signed with the fleet's key: anyone could
-// otherwise name a home region and pass by the caps.
+// The peer port must accept only requests signed with the fleet's key.
+// Otherwise anyone could claim a home region and bypass the shift caps.
 TEST_CASE("process: a request that no peer signed is not served as passed on") {
   fleet system(PlanFleet(2));
   const auto reply = Call({.address = system.settings(0).peer_address,
--- a/tests/process/platform_failure_test.cc
+++ b/tests/process/platform_failure_test.cc
@@ -10,45 +10,49 @@
 
 namespace {
 
+// Length of the load.
 constexpr int kRunMs = 4000;
 
-// Returns the history for what only one fault brings about.
+// Runs load while the platform has a fault, given as JSON, checks the history
+// and returns it for checks that apply to this fault only.
 std::vector<history_event> RunUnderFault(const std::string& fault,
                                          const std::string& repair) {
   fleet system(PlanFleet(2));
   const auto load = system.StartLoad(MixedScenario(kRunMs));
-  REQUIRE(system.MoreWhole(50));
+  REQUIRE(system.WaitForCompleteResponses(50));
   system.SetFaults(fault);
-  CHECK(system.MoreWhole(100));
+  CHECK(system.WaitForCompleteResponses(100));
   system.SetFaults(repair);
-  CHECK(system.MoreWhole(50));
+  CHECK(system.WaitForCompleteResponses(50));
   CHECK(load->Wait() == 0);
   auto history = system.History();
-  CheckClean(history);
+  CheckNoViolations(history);
   return history;
 }
 
 }  // namespace
 
-// The platform's store is away. Levels are read on; a claim is refused at once
-// and has not run, since nobody could promise that it runs once.
+// The platform's store is unreachable. Level requests are still served. A claim
+// is refused at once without having run, because at-most-once execution can't
+// be guaranteed without the store.
 TEST_CASE("process: the platform is down under load") {
   const auto history = RunUnderFault(R"({"down":true})", R"({"down":false})");
-  CHECK(Judged(history, "not-run"));
+  CHECK(RuleApplied(history, "not-run"));
 }
 
 TEST_CASE("process: the platform is slow under load") {
   RunUnderFault(R"({"slow_ms":400})", R"({"slow_ms":0})");
 }
 
-// Writes take effect, but their answers get lost on the way back. Who takes
-// silence for failure runs a claim twice.
+// Writes to the store take effect, but their responses are lost. An entry that
+// treats a missing response as a failed write would run a claim twice.
 TEST_CASE("process: answers of the platform are lost under load") {
   RunUnderFault(R"({"lose_answers":20})", R"({"lose_answers":0})");
 }
 
-// Two operators apply different files at the same moment, both from the
-// version they see. One of them must learn that hers is not in force.
+// Two operators apply different declarations at the same time, both based on
+// the same version. One of them must be refused and told that hers is not in
+// force.
 TEST_CASE("process: of two operators who race one is refused") {
   fleet system(PlanFleet(2));
   const auto version = system.ConfigVersion(0);
@@ -58,10 +62,10 @@
   second.limits.lookup_ttl = milliseconds(400);
   const auto expect = "&expect=" + std::to_string(version);
   http_reply replies[2];
-  std::thread rival(
+  std::thread concurrent_apply(
       [&] { replies[0] = system.Apply(0, first, "rival-1", expect); });
   replies[1] = system.Apply(3, second, "rival-2", expect);
-  rival.join();
+  concurrent_apply.join();
   const bool one_accepted =
       (replies[0].status == 200) != (replies[1].status == 200);
   CHECK(one_accepted);
@@ -73,12 +77,12 @@
   }
 }
 
-// A target is drained for maintenance. It gets no new work within seconds, and
-// nobody loses an answer.
+// A target is drained for maintenance. It must get no new requests after a few
+// seconds, and no response may be lost.
 TEST_CASE("process: a drained target gets no new work") {
   fleet system(PlanFleet(2));
   const auto load = system.StartLoad(MixedScenario(6000));
-  REQUIRE(system.MoreWhole(50));
+  REQUIRE(system.WaitForCompleteResponses(50));
   auto wanted = system.plan().declaration;
   const auto now = std::chrono::system_clock::now();
   wanted.drains = {{.name = "works",
@@ -87,16 +91,19 @@
                     .starts_at = now,
                     .deadline = now + std::chrono::hours(1)}};
   REQUIRE(system.Apply(1, wanted, "drain").status == 200);
-  system.Note(target_leaving{.time_us = HistoryNow(), .target = "s/t11"});
+  system.RecordEvent(
+      target_leaving{.time_us = HistoryNow(), .target = "s/t11"});
   CHECK(load->Wait() == 0);
   const auto history = system.History();
-  // The load goes on for longer than a leaving target may take.
-  CheckClean(history);
-  CHECK(Judged(history, "leaving-target"));
+  // The load lasts longer than a draining target may still get requests, so the
+  // rule is checked.
+  CheckNoViolations(history);
+  CHECK(RuleApplied(history, "leaving-target"));
 }
 
-// One request brings down every target that runs it, and its caller sends it
-// again and again through other entries. Others lose their answers with it.
+// A request crashes every target that runs it, and its caller retries it
+// through other entries. Each crash also loses the responses to other callers,
+// so the request must be quarantined.
 TEST_CASE("process: a request that crashes targets is stopped") {
   fleet system(PlanFleet(2));
   int quarantined = 0;
@@ -109,7 +116,7 @@
     const auto result = reply.headers.find("Samphirewinch-Result");
     if (result != reply.headers.end() && result->second.starts_with("2109"))
       ++quarantined;
-    // The next try meets targets that are back.
+    // Waits until the crashed target is back before the next attempt.
     REQUIRE(WaitUntil([&] {
       return Call({.address = system.settings(0).caller_address,
                    .path = "/v1/services/s/levels/well",
@@ -123,13 +130,14 @@
     const auto* start = std::get_if<run_started>(&event);
     crashes += start != nullptr && start->request_id.starts_with("poison-");
   }
-  // Two crashes tell; one more may be under way at another entry.
+  // Two crashes lead to quarantine; a third attempt may already be in progress
+  // at another entry.
   CHECK(crashes <= 3);
 }
 
-// A caller's connection breaks while its claim runs, and it asks again with the
-// same key. If its only answer were "ask an operator", each dropped mobile
-// connection would leave a claim that nobody can finish.
+// A caller's connection breaks while its claim is running, and it retries with
+// the same idempotency key. If the only response were to ask an operator, each
+// dropped mobile connection would leave a claim that can't be completed.
 TEST_CASE(
     "process: a claim whose caller hung up is answered when asked again") {
   fleet system(PlanFleet(2));
@@ -142,7 +150,7 @@
   "rates":[{"at_ms":0,"per_second":10}]}]})");
   CHECK(load->Wait() == 0);
   const auto history = system.History();
-  CheckClean(history);
+  CheckNoViolations(history);
   std::map<std::string, bool> answered;
   const history_index index(history);
   for (const auto& [id, request] : index.requests())
--- a/tests/process/relay_test.cc
+++ b/tests/process/relay_test.cc
@@ -14,9 +14,11 @@
 namespace {
 
 constexpr auto kRead = Poco::Net::Socket::SELECT_READ;
+// Limit for data to arrive, and time in which blocked data must not arrive.
 const Poco::Timespan kLong(10, 0);
 const Poco::Timespan kShort(0, 50'000);
 
+// Returns the data of the next read, or "nothing" after the limit.
 std::string Receive(Poco::Net::StreamSocket& socket) {
   char buffer[16];
   if (!socket.poll(kLong, kRead))
@@ -33,12 +35,12 @@
   near.sendBytes("ask", 3);
   auto far = server.acceptConnection();
   CHECK(Receive(far) == "ask");
-  link.SetCut(relay::way::kBack, true);
+  link.SetBlocked(relay::direction::kReturn, true);
   far.sendBytes("lost?", 5);
   near.sendBytes("more", 4);
   CHECK(Receive(far) == "more");
   CHECK_FALSE(near.poll(kShort, kRead));
-  link.SetCut(relay::way::kBack, false);
+  link.SetBlocked(relay::direction::kReturn, false);
   CHECK(Receive(near) == "lost?");
 }
 
@@ -48,11 +50,11 @@
   Poco::Net::DatagramSocket near(SocketAddress("127.61.9.4", 0));
   const SocketAddress there(link.address());
   char buffer[16];
-  link.SetCut(relay::way::kThere, true);
+  link.SetBlocked(relay::direction::kForward, true);
   near.sendTo("a", 1, there);
-  REQUIRE(WaitUntil([&] { return link.lost_datagrams() == 1; }));
-  link.SetCut(relay::way::kThere, false);
-  link.SetDelay(relay::way::kThere, std::chrono::milliseconds(30));
+  REQUIRE(WaitUntil([&] { return link.dropped_datagrams() == 1; }));
+  link.SetBlocked(relay::direction::kForward, false);
+  link.SetDelay(relay::direction::kForward, std::chrono::milliseconds(30));
   const auto sent = std::chrono::steady_clock::now();
   near.sendTo("b", 1, there);
   REQUIRE(server.poll(kLong, kRead));
--- a/tests/process/scenarios.h
+++ b/tests/process/scenarios.h
@@ -5,8 +5,9 @@
 
 namespace samphire {
 
-// Callers of both regions that read levels, hand in claims (some of them give
-// up and hand in again) and download archives for `run_ms`.
+// Returns a scenario, as JSON, in which callers of both regions read levels,
+// submit claims (some abandon the request and retry it with the same key) and
+// download archives for `run_ms` milliseconds. `seed` determines the arrivals.
 std::string MixedScenario(int run_ms, int seed = 1);
 
 }  // namespace samphire
--- a/tests/process/target_test.cc
+++ b/tests/process/target_test.cc
@@ -19,10 +19,11 @@
 
 namespace {
 
-// One worker of service "s" with two slots, as a real process.
-class one_target {
+// A real samphire-target process that simulates one target of service "s" with
+// two slots.
+class target_process {
  public:
-  explicit one_target(std::vector<std::string> more = {}) {
+  explicit target_process(std::vector<std::string> more = {}) {
     std::vector<std::string> arguments{"--listen=127.61.9.1:0", "--service=s",
                                        "--slots=2", "--restart_ms=50",
                                        "--history=" + history_.path()};
@@ -46,7 +47,7 @@
   http_reply Admin(const std::string& path) const {
     return Call({.method = "POST", .address = address_, .path = path});
   }
-  // How the run of a request ended, once it did.
+  // Waits until the run of a request has ended and returns its outcome.
   run_outcome OutcomeOf(const std::string& id) const {
     run_outcome outcome = run_outcome::kFinished;
     REQUIRE(WaitUntil([&] {
@@ -62,6 +63,7 @@
     }));
     return outcome;
   }
+  // Returns whether the request has acquired a slot.
   bool Started(const std::string& id) const {
     const auto events = ReadHistories({history_.path()}).value();
     const history_index index(events);
@@ -71,7 +73,8 @@
     }
     return false;
   }
-  // Runs a request that takes `ms` until it has its slot.
+  // Starts a request that takes `ms` milliseconds on a new thread, which the
+  // test must join, and waits until it has acquired a slot.
   std::thread Occupy(const std::string& id, const std::string& ms) {
     std::thread busy([this, id, ms] { Get(id, {{"Target-Sleep-Ms", ms}}); });
     REQUIRE(WaitUntil([&] { return Started(id); }));
@@ -90,7 +93,7 @@
 }  // namespace
 
 TEST_CASE("a target answers with whose answer it is, whole or visibly cut") {
-  const one_target target;
+  const target_process target;
   const auto whole = target.Get("one", {{"Target-Bytes", "1000"}});
   CHECK(whole.status == 200);
   const auto end = whole.body.find('\n') + 1;
@@ -107,10 +110,10 @@
   CHECK(target.OutcomeOf("two") == run_outcome::kAborted);
 }
 
-// A caller hangs up while its request runs. Work that nobody waits for would
-// hold a slot that others need.
+// A caller disconnects while its request is running. A request that continued
+// would occupy a slot that other callers need.
 TEST_CASE("a target stops work whose caller left or whose deadline passed") {
-  const one_target target;
+  const target_process target;
   {
     Poco::Net::StreamSocket caller{Poco::Net::SocketAddress(target.address())};
     const std::string request =
@@ -128,7 +131,7 @@
 
 TEST_CASE(
     "a target with busy slots sheds, a leaving one finishes and refuses") {
-  one_target target;
+  target_process target;
   auto first = target.Occupy("first", "300");
   auto second = target.Occupy("second", "300");
   const auto shed = target.Get("third");
@@ -144,10 +147,10 @@
   CHECK(target.Get("fifth").status == 200);
 }
 
-// One marked request brings its worker down. Everyone who shared the worker
-// loses an answer, until it is back.
+// A request crashes the target. All other requests that run there are cut off
+// too, until the target has restarted.
 TEST_CASE("a crash cuts what runs, and the target comes back") {
-  one_target target;
+  target_process target;
   auto other = target.Occupy("other", "60000");
   CHECK(target.Get("poison", {{"Target-Crash", "1"}}).status == 0);
   other.join();
@@ -157,7 +160,7 @@
 }
 
 TEST_CASE("a load report may lie, and a stopped target ends what it runs") {
-  one_target target({"--load_lie=0"});
+  target_process target({"--load_lie=0"});
   auto busy = target.Occupy("busy", "200");
   const auto report = Call({.address = target.address(), .path = "/load"});
   CHECK(report.body.find("\"in_flight\":0") != std::string::npos);
--- a/tests/routing/shared_bounds_model_test.cc
+++ b/tests/routing/shared_bounds_model_test.cc
@@ -12,7 +12,7 @@
 #include "routing/service_tracker.h"
 #include "routing/startup_allowance.h"
 #include "routing/team_permits.h"
-#include "support/membership_world.h"
+#include "support/membership_simulation.h"
 #include "traffic/entry_list_builder.h"
 
 using namespace samphire;
@@ -110,7 +110,7 @@
     set_ = target_set_ptr(new target_set(targets_, {}));
     for (auto& each : entries_)
       Start(each);
-    world_.network.is_cut = [this](const auto& from, const auto& to) {
+    world_.network.is_blocked = [this](const auto& from, const auto& to) {
       return cut_off_ == from || cut_off_ == to;
     };
   }
@@ -372,7 +372,7 @@
 
   const int entries_per_region_;
   std::mt19937_64 random_;
-  membership_world world_;
+  membership_simulation world_;
   std::vector<modelled_entry> entries_;
   std::vector<live_target> targets_;
   target_set_ptr set_;
--- a/tests/seats/partition_manager_test.cc
+++ b/tests/seats/partition_manager_test.cc
@@ -143,7 +143,7 @@
   // Claims take effect but their responses are lost, or they never arrive.
   const bool took_effect = GENERATE(true, false);
   partition_fixture fixture;
-  took_effect ? fixture.store.LoseNextAnswers(5)
+  took_effect ? fixture.store.LoseNextResponses(5)
               : fixture.store.LoseNextRequests(5);
   fixture.Start("e0");
   fixture.Start("e1");
--- a/tests/soak/soak_world.cc
+++ b/tests/soak/soak_world.cc
@@ -203,22 +203,22 @@
 void soak_world::InjectLinkFault(relay& link) {
   switch (random_() % 6) {
     case 0:
-      link.SetDelay(relay::way::kThere,
+      link.SetDelay(relay::direction::kForward,
                     std::chrono::milliseconds(random_() % 300));
       break;
     case 1:
-      link.SetCut(relay::way::kThere, true);
+      link.SetBlocked(relay::direction::kForward, true);
       break;
     case 2:
-      link.SetCut(relay::way::kBack, true);
+      link.SetBlocked(relay::direction::kReturn, true);
       break;
     case 3:
       link.ResetConnections();
       break;
     default:
-      link.SetCut(relay::way::kThere, false);
-      link.SetCut(relay::way::kBack, false);
-      link.SetDelay(relay::way::kThere, 0ms);
+      link.SetBlocked(relay::direction::kForward, false);
+      link.SetBlocked(relay::direction::kReturn, false);
+      link.SetDelay(relay::direction::kForward, 0ms);
   }
 }
 
@@ -226,9 +226,9 @@
   store_.refuse_with = 0;
   store_.history_gone = false;
   const auto reset_link = [](relay& link) {
-    link.SetCut(relay::way::kThere, false);
-    link.SetCut(relay::way::kBack, false);
-    link.SetDelay(relay::way::kThere, 0ms);
+    link.SetBlocked(relay::direction::kForward, false);
+    link.SetBlocked(relay::direction::kReturn, false);
+    link.SetDelay(relay::direction::kForward, 0ms);
   };
   for (auto& each : targets_) {
     each.process->behavior = target_behavior::kServe;
@@ -327,7 +327,7 @@
 void soak_world::CheckLogs() {
   const log_schema schema(SAMPHIRE_SOURCE_DIR "/docs/LOGS.md");
   for (const auto& line : LogLines()) {
-    const auto fault = schema.FaultOf(line);
+    const auto fault = schema.FindViolation(line);
     if (!fault.empty())
       AddFinding("log lines conform to their schema",
                  fmt::format("{} in {}", fault, line));
--- a/tests/support/child_process.cc
+++ b/tests/support/child_process.cc
@@ -21,13 +21,14 @@
   argv.push_back(nullptr);
   int ends[2];
   if (pipe2(ends, O_CLOEXEC) != 0)
-    throw std::runtime_error("pipe");
+    throw std::runtime_error("pipe2 failed for a child's output");
   const int log =
       open(log_path.c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, 0600);
   const pid_t parent = getpid();
   pid_ = fork();
   if (pid_ == 0) {
-    // A test program that dies must not leave its children behind.
+    // The kernel kills this process when the test program dies, so that no
+    // child outlives it. The test program may have died before prctl().
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent)
       _exit(127);
@@ -40,7 +41,7 @@
   close(log);
   output_ = ends[0];
   if (pid_ < 0)
-    throw std::runtime_error("fork");
+    throw std::runtime_error("fork failed for a child process");
 }
 
 child_process::~child_process() {
@@ -62,7 +63,7 @@
 }
 
 int child_process::Wait() {
-  // Reads on, so that a full pipe does not hold the program up.
+  // Keeps reading, so that the program doesn't block on a full pipe.
   char buffer[4096];
   while (read(output_, buffer, sizeof(buffer)) > 0) {
   }
--- a/tests/support/child_process.h
+++ b/tests/support/child_process.h
@@ -9,14 +9,18 @@
 
 namespace samphire {
 
-// Where a program's standard output goes.
+// Where a program's standard output goes: to ReadLine, or to the log file.
 enum class child_output { kReadLine, kLog };
 
-// One real program, started with arguments and killed by its pid at the end.
+// A program of the build, run as a child process, and killed by its pid when
+// this object is destroyed. Not thread-safe.
 class child_process {
  public:
-  // `log_path` takes what it writes to standard error, and with kLog also what
-  // it writes to standard output, which ReadLine otherwise reads.
+  // Starts `program`, a file name in the build's output directory. Appends its
+  // standard error to the file `log_path`, and with kLog also its standard
+  // output, which is otherwise read by ReadLine. Throws std::runtime_error if
+  // no process can be created; if the program can't be executed, its exit code
+  // is 127.
   child_process(const std::string& program,
                 const std::vector<std::string>& arguments,
                 const std::string& log_path,
@@ -25,17 +29,21 @@
   child_process(const child_process&) = delete;
   child_process& operator=(const child_process&) = delete;
 
-  // The first line of standard output; "" when there is none.
+  // Blocks for the next line of standard output and returns it without the line
+  // break; "" if the output has ended.
   std::string ReadLine();
+  // Sends a signal, unless the process is known to have ended.
   void Signal(int signal) const;
-  // Waits for the end and returns the exit code, or minus the signal that
-  // ended it.
+  // Blocks until the process ends and returns its exit code, or the negative
+  // number of the signal that ended it. Discards further standard output.
   int Wait();
+  // Returns whether the process has not ended yet.
   bool running();
-  // Ends it at once, as a crash of the instance does.
+  // Kills the process with SIGKILL, as a crash of its instance would.
   void Kill();
 
  private:
+  // Sets `exit_` if the process has ended; `options` as for waitpid().
   void Reap(int options);
 
   pid_t pid_ = -1;
--- a/tests/support/fake_object_store.cc
+++ b/tests/support/fake_object_store.cc
@@ -6,12 +6,14 @@
 
 namespace {
 
-error Down() {
-  return MakeError(result_code::kStoreUnreachable, "fake platform is down");
+error UnreachableError() {
+  return MakeError(result_code::kStoreUnreachable,
+                   "fake object store is set to be down");
 }
 
-error Lost() {
-  return MakeError(result_code::kStoreOutcomeUnknown, "fake answer lost");
+error OutcomeUnknownError() {
+  return MakeError(result_code::kStoreOutcomeUnknown,
+                   "fake object store lost a request or response");
 }
 
 }  // namespace
@@ -20,7 +22,7 @@
   std::lock_guard guard(lock_);
   ++reads_;
   if (down_)
-    return Down();
+    return UnreachableError();
   const auto found = objects_.find(key);
   if (found == objects_.end())
     return MakeError(result_code::kStoreNotFound, key);
@@ -30,40 +32,40 @@
 result<std::uint64_t> fake_object_store::Put(const std::string& key,
                                              const std::string& value,
                                              std::uint64_t expected) {
-  RunRivalMove();
+  RunBeforeWriteHook();
   std::lock_guard guard(lock_);
   ++writes_;
   if (down_)
-    return Down();
-  const auto fate = NextFate();
-  if (fate == write_fate::kRequestLost)
-    return Lost();
+    return UnreachableError();
+  const auto fault = NextWriteFault();
+  if (fault == write_fault::kRequestLost)
+    return OutcomeUnknownError();
   const auto found = objects_.find(key);
   const std::uint64_t present =
       found == objects_.end() ? 0 : found->second.version;
   if (present != expected) {
-    if (fate == write_fate::kAnswerLost)
-      return Lost();
+    if (fault == write_fault::kResponseLost)
+      return OutcomeUnknownError();
     return MakeError(result_code::kStoreConflict, key);
   }
   const std::uint64_t version = ++revision_;
   objects_[key] = store_object{key, version, value};
   Record(key, version);
-  if (fate == write_fate::kAnswerLost)
-    return Lost();
+  if (fault == write_fault::kResponseLost)
+    return OutcomeUnknownError();
   return version;
 }
 
 result<void> fake_object_store::Delete(const std::string& key,
                                        std::uint64_t expected) {
-  RunRivalMove();
+  RunBeforeWriteHook();
   std::lock_guard guard(lock_);
   ++writes_;
   if (down_)
-    return Down();
-  const auto fate = NextFate();
-  if (fate == write_fate::kRequestLost)
-    return Lost();
+    return UnreachableError();
+  const auto fault = NextWriteFault();
+  if (fault == write_fault::kRequestLost)
+    return OutcomeUnknownError();
   const auto found = objects_.find(key);
   if (found == objects_.end())
     return MakeError(result_code::kStoreNotFound, key);
@@ -72,8 +74,8 @@
   objects_.erase(found);
   ++revision_;
   Record(key, 0);
-  if (fate == write_fate::kAnswerLost)
-    return Lost();
+  if (fault == write_fault::kResponseLost)
+    return OutcomeUnknownError();
   return Success();
 }
 
@@ -82,7 +84,7 @@
   std::lock_guard guard(lock_);
   ++reads_;
   if (down_)
-    return Down();
+    return UnreachableError();
   std::vector<store_object> found;
   for (auto it = objects_.lower_bound(prefix);
        it != objects_.end() && it->first.starts_with(prefix); ++it) {
@@ -107,7 +109,7 @@
   if (cursor != 0)
     changed_.wait_for(guard, wait, collect);
   if (down_)
-    return Down();
+    return UnreachableError();
   batch.cursor = revision_;
   return batch;
 }
@@ -116,7 +118,7 @@
   std::lock_guard guard(lock_);
   ++reads_;
   if (down_)
-    return Down();
+    return UnreachableError();
   return instances_;
 }
 
@@ -126,9 +128,9 @@
   changed_.notify_all();
 }
 
-void fake_object_store::LoseNextAnswers(int count) {
+void fake_object_store::LoseNextResponses(int count) {
   std::lock_guard guard(lock_);
-  answers_to_lose_ = count;
+  responses_to_lose_ = count;
 }
 
 void fake_object_store::LoseNextRequests(int count) {
@@ -136,9 +138,9 @@
   requests_to_lose_ = count;
 }
 
-void fake_object_store::BeforeNextWrite(std::function<void()> move) {
+void fake_object_store::BeforeNextWrite(std::function<void()> hook) {
   std::lock_guard guard(lock_);
-  rival_move_ = std::move(move);
+  before_write_hook_ = std::move(hook);
 }
 
 void fake_object_store::SetInstances(std::vector<instance_info> instances) {
@@ -156,16 +158,16 @@
   return writes_;
 }
 
-fake_object_store::write_fate fake_object_store::NextFate() {
+fake_object_store::write_fault fake_object_store::NextWriteFault() {
   if (requests_to_lose_ > 0) {
     --requests_to_lose_;
-    return write_fate::kRequestLost;
+    return write_fault::kRequestLost;
   }
-  if (answers_to_lose_ > 0) {
-    --answers_to_lose_;
-    return write_fate::kAnswerLost;
+  if (responses_to_lose_ > 0) {
+    --responses_to_lose_;
+    return write_fault::kResponseLost;
   }
-  return write_fate::kNormal;
+  return write_fault::kNormal;
 }
 
 void fake_object_store::Record(const std::string& key, std::uint64_t version) {
@@ -173,14 +175,14 @@
   changed_.notify_all();
 }
 
-void fake_object_store::RunRivalMove() {
-  std::function<void()> move;
+void fake_object_store::RunBeforeWriteHook() {
+  std::function<void()> hook;
   {
     std::lock_guard guard(lock_);
-    move = std::exchange(rival_move_, nullptr);
+    hook = std::exchange(before_write_hook_, nullptr);
   }
-  if (move)
-    move();
+  if (hook)
+    hook();
 }
 
 }  // namespace samphire
--- a/tests/support/fake_object_store.h
+++ b/tests/support/fake_object_store.h
@@ -13,7 +13,8 @@
 
 namespace samphire {
 
-// The platform's object API in memory, with the faults it is known for.
+// The platform's object store in memory, with simulated faults: unreachable,
+// requests lost, responses lost, and conflicting writes. Thread-safe.
 class fake_object_store final : public object_store {
  public:
   result<store_object> Get(const std::string& key) override;
@@ -27,40 +28,46 @@
                             milliseconds wait) override;
   result<std::vector<instance_info>> Instances() override;
 
-  // Every call fails with kStoreUnreachable until set back.
+  // While set, every call fails with kStoreUnreachable.
   void SetDown(bool down);
-  // The next `count` writes take effect, but answer kStoreOutcomeUnknown.
-  void LoseNextAnswers(int count);
-  // The next `count` writes answer kStoreOutcomeUnknown and change nothing.
+  // The next `count` writes take effect but return kStoreOutcomeUnknown.
+  void LoseNextResponses(int count);
+  // The next `count` writes have no effect and return kStoreOutcomeUnknown.
   void LoseNextRequests(int count);
-  // Runs before the next write is judged, without the lock: a rival's move.
-  void BeforeNextWrite(std::function<void()> move);
+  // Calls `hook` once, before the next write compares versions and without the
+  // lock, so that it can make a conflicting write.
+  void BeforeNextWrite(std::function<void()> hook);
+  // Sets the result of Instances().
   void SetInstances(std::vector<instance_info> instances);
 
+  // Number of calls that read or write, failed ones included.
   int reads() const;
   int writes() const;
 
  private:
+  // A change, with the store revision that it produced.
   struct logged_event {
     std::uint64_t cursor = 0;
     store_event event;
   };
 
-  enum class write_fate { kNormal, kAnswerLost, kRequestLost };
+  enum class write_fault { kNormal, kResponseLost, kRequestLost };
 
-  write_fate NextFate();
+  // Returns the fault for the current write; requires the lock.
+  write_fault NextWriteFault();
+  // Logs a change of the current revision and wakes watches; requires the lock.
   void Record(const std::string& key, std::uint64_t version);
-  void RunRivalMove();
+  void RunBeforeWriteHook();
 
   mutable std::mutex lock_;
   std::condition_variable changed_;
   std::map<std::string, store_object> objects_;
   std::vector<logged_event> log_;
   std::vector<instance_info> instances_;
-  std::function<void()> rival_move_;
+  std::function<void()> before_write_hook_;
   std::uint64_t revision_ = 1;
   bool down_ = false;
-  int answers_to_lose_ = 0;
+  int responses_to_lose_ = 0;
   int requests_to_lose_ = 0;
   int reads_ = 0;
   int writes_ = 0;
--- a/tests/support/fake_peer_network.cc
+++ b/tests/support/fake_peer_network.cc
@@ -19,7 +19,7 @@
 void fake_peer_network::Post(const std::string& from, datagram sent) {
   ++messages_;
   payload_bytes_ += sent.message.payload.size();
-  if (is_cut(from, sent.to) || Chance(loss))
+  if (is_blocked(from, sent.to) || Chance(loss))
     return;
   if (Chance(duplicates))
     in_flight_.emplace(now_ + 2 * delay(from, sent.to), sent);
--- a/tests/support/fake_peer_transport.cc
+++ b/tests/support/fake_peer_transport.cc
@@ -27,7 +27,8 @@
                                        message_kind kind,
                                        const std::string& payload) {
   if (payload.size() > kMaxPeerPayloadBytes)
-    return MakeError(result_code::kPeerMalformed, "message over its bound");
+    return MakeError(result_code::kPeerMalformed,
+                     "payload exceeds the limit for a datagram");
   network_.Post(address_,
                 {address, kind, {sender_, incarnation_, address_, payload}});
   return Success();
--- a/tests/support/fake_peer_transport.h
+++ b/tests/support/fake_peer_transport.h
@@ -10,7 +10,10 @@
 
 namespace samphire {
 
-// One entry's end of a fake network.
+// The transport of one entry on a fake network, which must outlive it.
+// Registers itself under its address and replaces a previous transport there,
+// as after a restart. Belongs to the network's thread, on which handlers are
+// called.
 class fake_peer_transport final : public peer_transport {
  public:
   fake_peer_transport(fake_peer_network& network,
@@ -19,6 +22,8 @@
                       std::uint64_t incarnation);
   ~fake_peer_transport() override;
 
+  // Fails with kPeerMalformed if the payload exceeds kMaxPeerPayloadBytes. A
+  // datagram to an unknown address is lost without an error.
   result<void> Send(const std::string& address,
                     message_kind kind,
                     const std::string& payload) override;
--- a/tests/support/free_address.cc
+++ b/tests/support/free_address.cc
@@ -12,12 +12,13 @@
 
 namespace {
 
-// Below the ports that systems hand out by themselves (32768 and up on Linux).
-// One of those, free now, may be any other connection's before the program
-// that is to listen there has started.
+// Ports below the ephemeral range of the system (32768 and up on Linux). A free
+// ephemeral port may be assigned to any other connection before the program
+// that should listen on it has started.
 constexpr int kFirstPort = 10'240;
 constexpr int kPorts = 32'768 - kFirstPort;
-// Test programs that run side by side begin far from each other.
+// Distance between the first ports of test programs with consecutive process
+// ids, so that programs that run in parallel rarely try the same ports.
 constexpr int kPortsOfProcess = 1009;
 
 bool IsFree(const std::string& ip, int port) {
@@ -39,7 +40,7 @@
     if (IsFree(ip, port))
       return ip + ":" + std::to_string(port);
   }
-  throw std::runtime_error("no free port");
+  throw std::runtime_error("no free port below the ephemeral range");
 }
 
 }  // namespace samphire
--- a/tests/support/free_address.h
+++ b/tests/support/free_address.h
@@ -5,7 +5,9 @@
 
 namespace samphire {
 
-// IP:PORT with a port that was free a moment ago.
+// Returns IP:PORT with a TCP port that was free when it was checked, and that
+// this process has not returned before, unless all ports have been tried.
+// Thread-safe. Throws std::runtime_error if no port is free.
 std::string FreeAddress(const std::string& ip = "127.0.0.1");
 
 }  // namespace samphire
--- a/tests/support/log_schema.cc
+++ b/tests/support/log_schema.cc
@@ -13,9 +13,10 @@
 
 namespace {
 
-// On every line, beside what its event has.
+// Fields of every log line, in addition to those of its event.
 const std::set<std::string> kCommon = {"time", "level", "instance", "event"};
 
+// Returns the type of a JSON value, by its name in the table.
 std::string TypeOf(const Poco::Dynamic::Var& value) {
   if (value.isBoolean())
     return "bool";
@@ -26,9 +27,10 @@
   return value.isNumeric() ? "number" : "other";
 }
 
-// A number may happen to be whole.
-bool Fits(const std::string& type, const std::string& promised) {
-  return type == promised || (type == "int" && promised == "number");
+// Returns whether a value of `type` may stand for the documented type. A number
+// may happen to be an integer.
+bool MatchesType(const std::string& type, const std::string& documented) {
+  return type == documented || (type == "int" && documented == "number");
 }
 
 }  // namespace
@@ -50,7 +52,7 @@
   }
 }
 
-std::string log_schema::FaultOf(const std::string& line) const {
+std::string log_schema::FindViolation(const std::string& line) const {
   Poco::JSON::Object::Ptr json;
   try {
     json = Poco::JSON::Parser().parse(line).extract<Poco::JSON::Object::Ptr>();
@@ -62,19 +64,19 @@
       return "no " + name;
   }
   const auto event = json->getValue<std::string>("event");
-  const auto promised = events_.find(event);
-  if (promised == events_.end())
+  const auto documented = events_.find(event);
+  if (documented == events_.end())
     return "unlisted event " + event;
   for (const auto& [name, value] : *json) {
     if (kCommon.contains(name))
       continue;
-    const auto found = promised->second.find(name);
-    if (found == promised->second.end())
+    const auto found = documented->second.find(name);
+    if (found == documented->second.end())
       return fmt::format("{} has an unlisted field {}", event, name);
-    if (!Fits(TypeOf(value), found->second.type))
+    if (!MatchesType(TypeOf(value), found->second.type))
       return fmt::format("{}.{} is {}", event, name, TypeOf(value));
   }
-  for (const auto& [name, what] : promised->second) {
+  for (const auto& [name, what] : documented->second) {
     if (!what.optional && !json->has(name))
       return fmt::format("{} has no {}", event, name);
   }
--- a/tests/support/log_schema.h
+++ b/tests/support/log_schema.h
@@ -6,15 +6,18 @@
 
 namespace samphire {
 
-// The events and fields that a page of documentation promises, read from its
-// table: one row an event, each field as `name` and its type; one in
-// parentheses may be left out.
+// The documented log events and their fields, read from the table of a page in
+// Markdown. The table has one row per event and lists each field as `name` and
+// its type (text, int, number or bool); a field in parentheses is optional.
+// Immutable after construction.
 class log_schema {
  public:
   explicit log_schema(const std::string& page_path);
 
-  // What is wrong with a line; "" if nothing is.
-  std::string FaultOf(const std::string& line) const;
+  // Returns a description of the first violation of the schema in a log line,
+  // such as an undocumented event or field, or a missing field; "" if there is
+  // none.
+  std::string FindViolation(const std::string& line) const;
   std::size_t event_count() const { return events_.size(); }
 
  private:
--- a/tests/support/manual_clock.h
+++ b/tests/support/manual_clock.h
@@ -7,7 +7,7 @@
 
 namespace samphire {
 
-// A clock that stands still until a test moves it.
+// Clock for tests whose time changes only when Advance is called. Thread-safe.
 class manual_clock final : public clock_source {
  public:
   time_point now() const override {
@@ -17,6 +17,7 @@
     return wall_time(std::chrono::hours(24 * 365 * 56)) +
            duration(offset_.load());
   }
+  // Moves both the monotonic and the wall time forward.
   void Advance(duration by) { offset_ += by.count(); }
 
  private:
--- a/tests/support/relay.cc
+++ b/tests/support/relay.cc
@@ -12,8 +12,11 @@
 using Poco::Net::SocketAddress;
 using Poco::Net::StreamSocket;
 
+// Interval at which blocked data checks whether the link is open again.
 constexpr std::chrono::milliseconds kPoll{5};
+// Limit for one wait for data, after which a thread checks for the relay's end.
 const Poco::Timespan kWait(0, 20'000);
+// Size of one read; no datagram is larger.
 constexpr int kBufferBytes = 64 << 10;
 
 }  // namespace
@@ -22,14 +25,15 @@
     : destination_(destination), server_(SocketAddress(ip, 0)) {
   address_ = server_.address().toString();
   datagrams_.bind(server_.address());
-  Spawn(std::thread([this] { Accept(); }));
-  Spawn(std::thread([this] { PumpDatagrams(); }));
+  Spawn(std::thread([this] { AcceptConnections(); }));
+  Spawn(std::thread([this] { ForwardDatagrams(); }));
 }
 
 relay::~relay() {
   stopping_ = true;
   std::vector<std::thread> threads;
-  // Every thread looks at stopping_ before it may spawn another.
+  // A thread may still spawn another one until it sees `stopping_`, so this
+  // joins until there are none left.
   for (bool more = true; more;) {
     {
       std::lock_guard guard(lock_);
@@ -42,33 +46,33 @@
   }
 }
 
-void relay::SetDelay(way way, std::chrono::milliseconds delay) {
-  State(way).delay_ms = delay.count();
+void relay::SetDelay(direction direction, std::chrono::milliseconds delay) {
+  State(direction).delay_ms = delay.count();
 }
 
-void relay::SetCut(way way, bool cut) {
-  State(way).cut = cut;
+void relay::SetBlocked(direction direction, bool blocked) {
+  State(direction).blocked = blocked;
 }
 
 void relay::ResetConnections() {
   ++resets_;
 }
 
-relay::way_state& relay::State(way way) {
-  return way == way::kThere ? there_ : back_;
+relay::direction_state& relay::State(direction direction) {
+  return direction == direction::kForward ? forward_ : return_;
 }
 
-bool relay::Pass(way way) {
+bool relay::WaitToForward(direction direction) {
   const auto due = std::chrono::steady_clock::now() +
-                   std::chrono::milliseconds(State(way).delay_ms);
+                   std::chrono::milliseconds(State(direction).delay_ms);
   while (!stopping_ &&
-         (State(way).cut || std::chrono::steady_clock::now() < due))
-    std::this_thread::sleep_for(State(way).cut ? kPoll
-                                               : std::chrono::milliseconds(1));
+         (State(direction).blocked || std::chrono::steady_clock::now() < due))
+    std::this_thread::sleep_for(
+        State(direction).blocked ? kPoll : std::chrono::milliseconds(1));
   return !stopping_;
 }
 
-void relay::Accept() {
+void relay::AcceptConnections() {
   while (!stopping_) {
     if (!server_.poll(kWait, Poco::Net::Socket::SELECT_READ))
       continue;
@@ -77,20 +81,24 @@
       StreamSocket target(destination_);
       caller.setNoDelay(true);
       target.setNoDelay(true);
-      Spawn(std::thread([=, this] { Pump(caller, target, way::kThere); }));
-      Spawn(std::thread([=, this] { Pump(target, caller, way::kBack); }));
+      Spawn(std::thread(
+          [=, this] { ForwardStream(caller, target, direction::kForward); }));
+      Spawn(std::thread(
+          [=, this] { ForwardStream(target, caller, direction::kReturn); }));
     } catch (const Poco::Exception&) {
       caller.close();
     }
   }
 }
 
-void relay::Pump(StreamSocket from, StreamSocket to, way way) {
+void relay::ForwardStream(StreamSocket from,
+                          StreamSocket to,
+                          direction direction) {
   std::array<char, kBufferBytes> buffer{};
-  const int opened_after = resets_;
+  const int resets_at_start = resets_;
   try {
     while (!stopping_) {
-      if (resets_ != opened_after) {
+      if (resets_ != resets_at_start) {
         from.setLinger(true, 0);
         from.close();
         return;
@@ -98,7 +106,7 @@
       if (!from.poll(kWait, Poco::Net::Socket::SELECT_READ))
         continue;
       const int count = from.receiveBytes(buffer.data(), kBufferBytes);
-      if (!Pass(way))
+      if (!WaitToForward(direction))
         break;
       if (count <= 0)
         break;
@@ -106,12 +114,12 @@
     }
     to.shutdownSend();
   } catch (const Poco::Exception&) {
-    // One side broke the connection; so the other sees it broken too.
+    // One side has closed the connection, so the other is closed as well.
     to.close();
   }
 }
 
-void relay::PumpDatagrams() {
+void relay::ForwardDatagrams() {
   std::array<char, kBufferBytes> buffer{};
   std::map<std::string, DatagramSocket> upstream;
   while (!stopping_) {
@@ -121,37 +129,37 @@
       SocketAddress sender;
       const int count =
           datagrams_.receiveFrom(buffer.data(), kBufferBytes, sender);
-      // A cut link loses datagrams instead of keeping them.
-      if (there_.cut) {
-        ++lost_datagrams_;
+      // A blocked link drops datagrams instead of queueing them.
+      if (forward_.blocked) {
+        ++dropped_datagrams_;
         continue;
       }
-      if (!Pass(way::kThere))
+      if (!WaitToForward(direction::kForward))
         return;
       auto found = upstream.find(sender.toString());
       if (found == upstream.end()) {
         DatagramSocket socket(SocketAddress(server_.address().host(), 0));
         found = upstream.emplace(sender.toString(), socket).first;
-        Spawn(std::thread([=, this] { PumpDatagramsBack(socket, sender); }));
+        Spawn(std::thread([=, this] { ReturnDatagrams(socket, sender); }));
       }
       found->second.sendTo(buffer.data(), count, destination_);
     } catch (const Poco::Exception&) {
-      // Nobody listens there: the datagram is lost.
+      // The destination port is closed; the datagram is lost.
     }
   }
 }
 
-void relay::PumpDatagramsBack(DatagramSocket from, const SocketAddress& to) {
+void relay::ReturnDatagrams(DatagramSocket from, const SocketAddress& to) {
   std::array<char, kBufferBytes> buffer{};
   while (!stopping_) {
     try {
       if (!from.poll(kWait, Poco::Net::Socket::SELECT_READ))
         continue;
       const int count = from.receiveBytes(buffer.data(), kBufferBytes);
-      if (count > 0 && !back_.cut && Pass(way::kBack))
+      if (count > 0 && !return_.blocked && WaitToForward(direction::kReturn))
         datagrams_.sendTo(buffer.data(), count, to);
     } catch (const Poco::Exception&) {
-      // Nobody listens there: the datagram is lost.
+      // The destination port is closed; the datagram is lost.
     }
   }
 }
--- a/tests/support/relay.h
+++ b/tests/support/relay.h
@@ -15,53 +15,63 @@
 
 namespace samphire {
 
-// A stretch of network between two addresses: passes TCP and UDP on, late or
-// not at all, each way by itself. It drops nothing that it has begun to
-// delay; a cut TCP way holds bytes back as a dead link does, it doesn't close.
+// Simulates a network link to one address by forwarding TCP and UDP, with a
+// delay or a block that is set for each direction separately. Data whose delay
+// has started is not dropped. A blocked direction of a TCP connection holds
+// bytes back, as a dead link does, and doesn't close the connection. All
+// members may be called from any thread.
 class relay {
  public:
-  enum class way { kThere, kBack };
+  // kForward is from the callers to the destination.
+  enum class direction { kForward, kReturn };
 
-  // Listens on a free port of `ip` for TCP and UDP.
+  // Listens on one free port of `ip` for both TCP and UDP, and forwards to the
+  // IP:PORT `destination`. Throws a Poco::Exception if it can't listen.
   relay(const std::string& ip, const std::string& destination);
   ~relay();
   relay(const relay&) = delete;
   relay& operator=(const relay&) = delete;
 
+  // IP:PORT at which the relay listens.
   const std::string& address() const { return address_; }
-  void SetDelay(way way, std::chrono::milliseconds delay);
-  void SetCut(way way, bool cut);
-  // Resets every open connection.
+  void SetDelay(direction direction, std::chrono::milliseconds delay);
+  void SetBlocked(direction direction, bool blocked);
+  // Resets every open TCP connection.
   void ResetConnections();
-  // Datagrams that the cut way there took.
-  int lost_datagrams() const { return lost_datagrams_; }
+  // Number of datagrams dropped because the forward direction was blocked.
+  int dropped_datagrams() const { return dropped_datagrams_; }
 
  private:
-  struct way_state {
+  struct direction_state {
     std::atomic<std::int64_t> delay_ms{0};
-    std::atomic<bool> cut{false};
+    std::atomic<bool> blocked{false};
   };
 
-  way_state& State(way way);
-  // Waits out delay and cut; false when the relay ends meanwhile.
-  bool Pass(way way);
-  void Accept();
-  void Pump(Poco::Net::StreamSocket from, Poco::Net::StreamSocket to, way way);
-  void PumpDatagrams();
-  void PumpDatagramsBack(Poco::Net::DatagramSocket from,
-                         const Poco::Net::SocketAddress& to);
+  direction_state& State(direction direction);
+  // Blocks for the delay, and while the direction is blocked. Returns false if
+  // the relay is destroyed meanwhile.
+  bool WaitToForward(direction direction);
+  void AcceptConnections();
+  void ForwardStream(Poco::Net::StreamSocket from,
+                     Poco::Net::StreamSocket to,
+                     direction direction);
+  void ForwardDatagrams();
+  void ReturnDatagrams(Poco::Net::DatagramSocket from,
+                       const Poco::Net::SocketAddress& to);
   void Spawn(std::thread thread);
 
   const Poco::Net::SocketAddress destination_;
   Poco::Net::ServerSocket server_;
   Poco::Net::DatagramSocket datagrams_;
   std::string address_;
-  way_state there_;
-  way_state back_;
-  std::atomic<int> lost_datagrams_{0};
+  direction_state forward_;
+  direction_state return_;
+  std::atomic<int> dropped_datagrams_{0};
   std::atomic<bool> stopping_{false};
-  // Connections that were opened before the last reset end with it.
+  // Number of calls to ResetConnections. A connection is reset when the number
+  // has changed since it was opened.
   std::atomic<int> resets_{0};
+  // Guards `threads_`.
   std::mutex lock_;
   std::vector<std::thread> threads_;
 };
--- a/tests/support/small_service.cc
+++ b/tests/support/small_service.cc
@@ -77,21 +77,22 @@
   return made;
 }
 
-admission_decision dispatcher_fixture::Ask(const admission_request& request) {
+admission_decision dispatcher_fixture::Submit(
+    const admission_request& request) {
   return slots.Submit(request, now);
 }
 
-admission_decision dispatcher_fixture::Ask(const std::string& class_name,
-                                           milliseconds time,
-                                           const std::string& home) {
+admission_decision dispatcher_fixture::Submit(const std::string& class_name,
+                                              milliseconds time,
+                                              const std::string& home) {
   auto request = Request(class_name, time);
   request.home_region = home;
-  return Ask(request);
+  return Submit(request);
 }
 
 slot_grant dispatcher_fixture::Grant(const std::string& class_name,
                                      milliseconds time) {
-  return std::get<slot_grant>(Ask(class_name, time));
+  return std::get<slot_grant>(Submit(class_name, time));
 }
 
 std::vector<wakeup> dispatcher_fixture::Finish(const slot_grant& grant,
--- a/tests/support/wait_until.h
+++ b/tests/support/wait_until.h
@@ -6,8 +6,9 @@
 
 namespace samphire {
 
-// Waits for a condition. The limit only ends a test that hangs; no verdict
-// depends on how long the condition took.
+// Polls `condition` every 5 ms until it returns true, or for `limit`; returns
+// whether it did. The limit only ends a test that hangs: no test result depends
+// on how long the condition took.
 template <typename F>
 bool WaitUntil(F condition,
                std::chrono::seconds limit = std::chrono::seconds(60)) {
