--- a/src/libsamphire/gateway/entry_node_ticks.cc
+++ b/src/libsamphire/gateway/entry_node_ticks.cc
@@ -43,7 +43,7 @@
                              const std::string& name) {
   for (const auto& region : declared.regions) {
     if (region.name == name)
-      return region.seats;
+      return region.partition_count;
   }
   return 0;
 }
--- a/src/libsamphire/gateway/local_server.cc
+++ b/src/libsamphire/gateway/local_server.cc
@@ -127,9 +127,9 @@
 
 serve_result local_server::Replay(progress& state, const replay& found) {
   const auto note = MakeNote(state, found.code, run_state::kRan);
-  if (found.answer.status == 0)
+  if (found.response.status == 0)
     return serve_failure{note};
-  SendBuffered(state.sink, ResponseOf(found.answer), note);
+  SendBuffered(state.sink, ResponseOf(found.response), note);
   return response_sent{};
 }
 
--- a/src/libsamphire/gateway/partition_distributor.cc
+++ b/src/libsamphire/gateway/partition_distributor.cc
@@ -16,7 +16,7 @@
   const auto found =
       std::find_if(declared.regions.begin(), declared.regions.end(),
                    [&](const auto& each) { return each.name == name; });
-  return found == declared.regions.end() ? 0 : found->seats;
+  return found == declared.regions.end() ? 0 : found->partition_count;
 }
 
 // Returns the caps on what other regions may shift to this one. Where none is
--- a/src/libsamphire/gateway/peer_call_handler.cc
+++ b/src/libsamphire/gateway/peer_call_handler.cc
@@ -30,7 +30,7 @@
     return EncodeBinary(texts);
   }
   result<std::string> operator()(const instance_list_request& call) const {
-    return EncodeBinary(context.instances.Answer(call.known));
+    return EncodeBinary(context.instances.ListIfChanged(call.known));
   }
 };
 
--- a/src/libsamphire/gateway/remote_server.cc
+++ b/src/libsamphire/gateway/remote_server.cc
@@ -108,7 +108,7 @@
   if (end.relayed)
     return response_sent{};
   if (!end.response) {
-    pool_.Forget(peer.peer_address);
+    pool_.CloseIdle(peer.peer_address);
     return serve_failure{NoteForOutcome(request, end.outcome)};
   }
   const auto note = ReadNote(end.response->head);
@@ -129,9 +129,9 @@
   out.head.set(kHeaderHomeRegion, request.home_region);
   out.head.set(kPeerTokenHeader,
                signer_.Sign({.method = request.method,
-                             .target = out.head.getURI(),
-                             .receiver = peer.peer_address,
-                             .content = ForwardedContent(
+                             .request_target = out.head.getURI(),
+                             .receiver_address = peer.peer_address,
+                             .signed_content = ForwardedContent(
                                  request.home_region, request.idempotency_key,
                                  request.body)}));
   return out;
--- a/src/load/caller.cc
+++ b/src/load/caller.cc
@@ -81,7 +81,7 @@
         CallerRetryDelay({.answer = answer,
                           .keyed = stream.keyed,
                           .attempts_remain = outcome.attempts < max_attempts,
-                          .left = intended + stream.deadline - done,
+                          .time_left = intended + stream.deadline - done,
                           .max_retry_wait = plan_.max_retry_wait});
     if (!wait)
       return outcome;
--- a/tests/gateway/partition_distributor_test.cc
+++ b/tests/gateway/partition_distributor_test.cc
@@ -31,7 +31,7 @@
 deployment_ptr Deployed() {
   declaration frame;
   frame.regions.push_back(
-      {.name = "east", .failure_domains = {"east-a"}, .seats = 2});
+      {.name = "east", .failure_domains = {"east-a"}, .partition_count = 2});
   frame.default_region = "east";
   frame.services = {ServiceNamed("levels", 3s), ServiceNamed("archives", 300s)};
   frame.limits.loan_ttl = 250ms;
--- a/tests/support/membership_simulation.cc
+++ b/tests/support/membership_simulation.cc
@@ -102,7 +102,7 @@
                                          std::size_t count) {
   return std::ranges::all_of(nodes_, [&](const auto& entry) {
     return entry.second.region != region ||
-           entry.second.core->table().Working().size() == count;
+           entry.second.core->table().AliveMembers().size() == count;
   });
 }
 
