--- a/src/libsamphire/routing/attempt_end.h
+++ b/src/libsamphire/routing/attempt_end.h
@@ -20,10 +20,13 @@
   // The address now belongs to another process than the intended target.
   kMisdirected,
   kConnectFailed,
-  // The request was sent, but no complete response arrived.
+  // The request was sent, but no complete response arrived, or one without the
+  // stamp of a target that ran the request.
   kLost,
   kTimedOut,
-  // The caller cancelled the request before the attempt ended.
+  // The attempt ended without evidence for or against the target: the caller
+  // disconnected or sent an invalid, too long or late body, the attempt was
+  // never made, or its placement lease expired.
   kCallerGone,
 };
 
@@ -41,7 +44,8 @@
 // Describes the end of one attempt to the component that placed it.
 struct attempt_end {
   attempt_result result = attempt_result::kLost;
-  // Time from the choice of the target to the header of its response.
+  // Time from the end of sending the request to the header of the response; the
+  // time of the whole attempt if no header arrived.
   duration took{0};
   // Sum of the request's and the response's body sizes; 0 if not known.
   std::uint64_t body_bytes = 0;
--- a/src/libsamphire/routing/decaying_average.h
+++ b/src/libsamphire/routing/decaying_average.h
@@ -15,6 +15,7 @@
 
   // Sets the value that holds from `now` on.
   void Set(double value, time_point now);
+  // Returns the mean at `now`, which must not be before the last Set().
   double At(time_point now) const;
 
  private:
--- a/src/libsamphire/routing/key_owner.h
+++ b/src/libsamphire/routing/key_owner.h
@@ -10,7 +10,7 @@
 namespace samphire {
 
 // Returns the index in `entries` of the entry that places all requests of a
-// region for a key. Returns nothing if the entries are so few that each places
+// region for a key. Returns nothing for up to six entries, of which each places
 // its own requests. Uses rendezvous hashing: callers with the same set of
 // entries get the same owner, and an entry that joins or leaves moves only the
 // keys that it owns. Safe to call from any thread.
--- a/src/libsamphire/routing/message_size_estimate.h
+++ b/src/libsamphire/routing/message_size_estimate.h
@@ -11,7 +11,8 @@
  public:
   void AddSample(std::uint64_t bytes);
   // Returns whether an exchange with a request body of `request_bytes` is
-  // expected to be large.
+  // expected to be large, that is, to have 16 KiB or more in both bodies
+  // together.
   bool IsLarge(std::uint64_t request_bytes) const;
 
  private:
--- a/src/libsamphire/routing/permit_grantors.h
+++ b/src/libsamphire/routing/permit_grantors.h
@@ -9,7 +9,8 @@
 
 namespace samphire {
 
-// Indexes of the entries that grant a team's permits.
+// Indexes of the entries that grant a team's permits, in the list given to
+// ChooseGrantors; nothing where the list has too few entries.
 struct permit_grantors {
   std::optional<std::size_t> owner;
   // Grants permits while the owner does not respond.
@@ -17,7 +18,7 @@
 };
 
 // Chooses the owner and its backup by rendezvous hashing. The result depends
-// only on the team and the set of entries.
+// only on the team and the set of entries. Safe to call from any thread.
 permit_grantors ChooseGrantors(std::string_view team,
                                const std::vector<std::string>& entries);
 
--- a/src/libsamphire/routing/permit_shares.h
+++ b/src/libsamphire/routing/permit_shares.h
@@ -25,7 +25,8 @@
   // The last time the set of this region's entries changed.
   time_point unchanged_since;
 
-  // Returns the largest share of the limit that an entry may grant in `role`.
+  // Returns the largest share of the limit that an entry may grant in `role`,
+  // from 0 to 1.
   double Of(permit_role role) const;
 };
 
--- a/src/libsamphire/routing/region_plan.cc
+++ b/src/libsamphire/routing/region_plan.cc
@@ -13,9 +13,10 @@
       [](double sum, const auto& each) { return sum + each.second; });
 }
 
-// Assumes equal demand from the callers of each place, `used_capacity` in
-// total. Callers use their own place up to its capacity; the excess goes to the
-// free capacity of the other places, in proportion to it.
+// Assumes equal demand from the callers of each place, which is a region or a
+// failure domain, and `used_capacity` in total. Callers use their own place up
+// to its capacity; the excess goes to the free capacity of the other places, in
+// proportion to it.
 std::map<std::string, double> PlanCapacity(
     const std::map<std::string, double>& capacity,
     const std::string& from,
--- a/src/libsamphire/routing/service_tracker.h
+++ b/src/libsamphire/routing/service_tracker.h
@@ -39,7 +39,8 @@
   // called. `service` is null if the manifest does not declare the service;
   // cold targets then get no requests. `self` is this entry. `region_entries`
   // names the live entries of this region; it is empty while they are not known
-  // yet.
+  // yet. `targets` must be owned by a target_set_ptr, since the tracker keeps a
+  // reference to it until it gets another set.
   placement_result Place(const placement_criteria& request,
                          const target_set& targets,
                          const traffic_service* service,
@@ -148,8 +149,8 @@
   // The set that `records_` and `open_targets_` were last built from.
   target_set_ptr synced_set_;
   // The estimated number of keys that other entries have at a target on
-  // average, if each entry places for its region; and the number of other
-  // entries, which bounds it.
+  // average, if this entry places for its region, else 0; and the number of
+  // other entries, which bounds PeerFactor().
   double peer_keys_ = 0;
   double peers_ = 0;
   std::map<std::string, target_record, std::less<>> records_;
--- a/src/libsamphire/routing/target_record.cc
+++ b/src/libsamphire/routing/target_record.cc
@@ -17,15 +17,18 @@
 // recently used one is dropped here too.
 constexpr std::size_t kMaxKeys = 64;
 // The number of consecutive lost responses after which a target is ejected. A
-// single one may be due to a broken connection; a refused connection ejects the
+// single one may be due to a broken connection; a failure to connect ejects the
 // target at once.
 constexpr std::uint32_t kFailuresToEject = 2;
 constexpr milliseconds kFirstEjection{500};
+// Upper bound on the doublings of the ejection time, which thus is at most 8 s.
 constexpr std::uint32_t kMaxEjectionStep = 4;
 // The weight of one result in the share of failures.
 constexpr double kFailureWeight = 0.12;
 constexpr double kSlownessWeight = 0.2;
+// Upper bound on one sample of the slowness.
 constexpr double kMaxSlowness = 12;
+// A cold target's rate is declared in requests per second.
 constexpr milliseconds kColdWindow{1000};
 
 // A timeout indicates a long queue or a slow target, which are accounted for
--- a/src/libsamphire/routing/target_record.h
+++ b/src/libsamphire/routing/target_record.h
@@ -20,7 +20,7 @@
  public:
   // Updates the target's description. If the target has restarted, discards
   // everything but the number of attempts in flight, and treats the target as
-  // cold for the service's warm-up time.
+  // cold for the service's warm-up time. Clears misdirected().
   void Describe(const live_target& target,
                 const traffic_service* service,
                 time_point now);
@@ -92,7 +92,7 @@
   std::uint32_t consecutive_ejections_ = 0;
   time_point ejected_until_;
   // Set after an ejection, as in a half-open circuit breaker: one attempt at a
-  // time until a response arrives.
+  // time until one gets a response or times out.
   bool half_open_ = false;
   bool misdirected_ = false;
   // The target was unreachable, so it may have restarted.
--- a/src/libsamphire/routing/team_permits.h
+++ b/src/libsamphire/routing/team_permits.h
@@ -36,6 +36,8 @@
   double Lend(const team_limit& limit,
               const permit_shares& shares,
               time_point now);
+  // Adds permits lent by the owner in another region to this owner's bucket.
+  // Those above its capacity are lost.
   void OnBorrowed(double permits,
                   const team_limit& limit,
                   const permit_shares& shares,
--- a/src/libsamphire/routing/traffic_manifest.h
+++ b/src/libsamphire/routing/traffic_manifest.h
@@ -38,12 +38,14 @@
   // there is none. Ignores a port in `host` and a query in `path`.
   const traffic_route* FindRoute(std::string_view host,
                                  std::string_view path) const;
+  // Returns null if the manifest does not declare the service.
   const traffic_service* FindService(std::string_view name) const;
   // Returns whether requests need an API key, except on routes that allow
   // anonymous ones.
   bool has_teams() const { return !teams_.empty(); }
   // Returns the sum of all teams' rate limits in requests per second.
   double total_team_rate() const { return total_team_rate_; }
+  // Returns null if the manifest does not contain the team.
   const traffic_team* FindTeam(std::string_view name) const;
   // Returns the team that `api_key` belongs to, or null.
   const traffic_team* FindTeamByApiKey(const std::string& api_key) const;
--- a/src/libsamphire/routing/traffic_route.h
+++ b/src/libsamphire/routing/traffic_route.h
@@ -24,7 +24,8 @@
   milliseconds timeout{0};
   // A response within this time has its full value for the caller.
   milliseconds latency_objective{0};
-  // The maximum number of targets that one request is sent to.
+  // The maximum number of attempts whose targets may have run one request.
+  // Attempts that are known not to have run it do not count.
   std::uint32_t max_attempts = 1;
   // Whether requests need no API key.
   bool allows_anonymous = false;
--- a/src/libsamphire/traffic/entry_list.h
+++ b/src/libsamphire/traffic/entry_list.h
@@ -30,15 +30,14 @@
   // leaving and some entries of other regions; excludes this entry.
   std::vector<std::string> bootstrap_addresses;
   // The members among which limits that hold for all entries together are
-  // divided: the names in this region, and the number of entries in all
-  // regions. Empty and 0 until this entry has run for
-  // `traffic_settings::settle_time`, so that it knows the others and they know
-  // it. Entries that start at the same time would otherwise each assume to be
-  // alone and use the whole limit.
+  // divided: the names in this region, and `fleet_peak` for all regions. Empty
+  // and 0 until this entry has run for `traffic_settings::settle_time`, so that
+  // it knows the others and they know it. Entries that start at the same time
+  // would otherwise each assume to be alone and use the whole limit.
   std::vector<std::string> settled_region_members;
   std::size_t settled_fleet_size = 0;
   // The maximum number of entries over the last minute, in this region and in
-  // all regions.
+  // all regions. The latter is at least `traffic_settings::min_fleet_size`.
   std::size_t region_peak = 0;
   std::size_t fleet_peak = 0;
   // The last time `names` changed.
--- a/src/libsamphire/traffic/mirror_handler.h
+++ b/src/libsamphire/traffic/mirror_handler.h
@@ -17,7 +17,8 @@
 
 // Serves this entry's copy of the platform's objects to a peer that watches
 // them through this entry. The server creates one handler for each request; a
-// handler may block for as long as the peer asked to wait for a change.
+// handler may block for as long as the peer requests to wait for a change, but
+// at most 5 s. The constructor's arguments must outlive the handler.
 class mirror_handler final : public Poco::Net::HTTPRequestHandler {
  public:
   mirror_handler(object_relay& relay,
--- a/src/libsamphire/traffic/placement_client.cc
+++ b/src/libsamphire/traffic/placement_client.cc
@@ -12,7 +12,7 @@
 constexpr std::uint32_t kObjectiveDivisor = 20;
 constexpr milliseconds kMinResponseTimeout{10};
 constexpr milliseconds kMaxResponseTimeout{50};
-// Time for which an owner that did not respond is not asked again. It is
+// Time for which an owner that did not respond is not queried again. It is
 // stalled, stopped or unreachable. Every request that waits for it loses time,
 // and one request a second is enough to notice its return.
 constexpr milliseconds kUnresponsivePause{1000};
--- a/src/libsamphire/traffic/placement_messages.h
+++ b/src/libsamphire/traffic/placement_messages.h
@@ -117,7 +117,7 @@
   std::uint64_t id = 0;
   std::string service;
   attempt_result result = attempt_result::kCallerGone;
-  // From the choice of the target to the head of its response.
+  // attempt_end::took in microseconds.
   std::uint64_t took_us = 0;
   // Size of the request's and the response's body; 0 if not known.
   std::uint64_t body_bytes = 0;
--- a/src/libsamphire/traffic/platform_fallback.h
+++ b/src/libsamphire/traffic/platform_fallback.h
@@ -22,7 +22,8 @@
   // Called when no peer responded. This entry is then partitioned from them and
   // need not wait for them to recover.
   void OnPeersUnreachable() { stale_since_.reset(); }
-  // Called when a peer or the platform returned current changes.
+  // Called when a peer or the platform returned current changes. Ends hold-off
+  // and back-off.
   void OnUpdate();
   // Number of OnPeersStale() calls since the last OnUpdate().
   std::size_t stale_rounds() const { return stale_rounds_; }
--- a/src/libsamphire/traffic/request_placer.h
+++ b/src/libsamphire/traffic/request_placer.h
@@ -23,8 +23,9 @@
                  std::string service);
 
   // Chooses the target for the next attempt among those that are not excluded.
-  // Blocks for up to 50 ms while the key's owner is asked. A chosen target
-  // counts the attempt as load until OnAttemptEnd().
+  // Blocks for up to 50 ms until the key's owner responds. A chosen target
+  // counts the attempt as load until OnAttemptEnd(). This entry must have a
+  // list of targets.
   placed_request Place();
   // Reports the end of an attempt to the entry that placed it. Returns for how
   // long the target is ejected as a result; 0 if it is not ejected or the key's
--- a/src/libsamphire/traffic/source_role.h
+++ b/src/libsamphire/traffic/source_role.h
@@ -8,8 +8,7 @@
   // Watches the platform itself; the other entries of its region follow it.
   kWatcher,
   // Backup watcher: follows the watchers, and watches the platform while they
-  // have
-  // no fresh copy.
+  // have no fresh copy.
   kBackup,
   // Follows the watchers, or the backups while the watchers have no fresh copy.
   kFollower,
--- a/src/libsamphire/traffic/target_exchange_end.h
+++ b/src/libsamphire/traffic/target_exchange_end.h
@@ -12,7 +12,8 @@
 // The outcome of one attempt to send a request to a target.
 struct target_exchange_end {
   attempt_end attempt;
-  // Why there is no complete response; kOk if there is one.
+  // Why there is no response for the caller: it is incomplete, or the target
+  // did not produce it by running the request. kOk if there is one.
   result_code reason = result_code::kOk;
   // Whether the request may be running or have run at the target.
   bool may_have_run = false;
--- a/src/libsamphire/traffic/team_limiter.cc
+++ b/src/libsamphire/traffic/team_limiter.cc
@@ -24,7 +24,7 @@
 // know each other after this time.
 constexpr milliseconds kStartupRetryAfter{500};
 // Maximum time for which another entry's refusal is cached and applied without
-// asking that entry again.
+// another request to that entry.
 constexpr milliseconds kMaxRefusalAge{200};
 // Time after a refusal during which a team is assumed to exceed its limit.
 constexpr milliseconds kOverLimitWindow{3000};
--- a/src/libsamphire/traffic/team_limiter.h
+++ b/src/libsamphire/traffic/team_limiter.h
@@ -84,7 +84,7 @@
   bool WasRefusedRecently(const std::string& team);
   void NoteRefusal(const std::string& team, const team_permit& refusal);
   // Requests a permit from the entry at `address`. Returns nothing if it does
-  // not respond, or did not do so recently.
+  // not respond, and immediately if it failed to within the last second.
   std::optional<permit_response> RequestPermit(const std::string& address,
                                                const std::string& team);
   // Takes a permit from this entry's own share for `role`, and requests loans
