--- a/src/libsamphire/allowance/loan_ledger.h
+++ b/src/libsamphire/allowance/loan_ledger.h
@@ -29,7 +29,8 @@
 class loan_ledger {
  public:
   // `incarnation` must differ from that of every earlier process on this
-  // instance. `seed` determines the random choice of lenders.
+  // instance. `seed` determines the random choice of lenders. `dispatcher` must
+  // outlive the ledger.
   loan_ledger(service_dispatcher& dispatcher,
               const std::string& service,
               const limits& bounds,
--- a/src/libsamphire/allowance/loan_messages.h
+++ b/src/libsamphire/allowance/loan_messages.h
@@ -53,8 +53,10 @@
   }
 };
 
-// Lender to borrower: refuses a request because no slot became free in time, or
-// a renewal because the lender needs its slot back.
+// Lender to borrower: refuses a request because no slot became free in time or
+// too many requests are pending, or a renewal because the lender needs its slot
+// back or does not know the loan. Either is also refused if the lender is
+// leaving or a duration in the message is out of bounds.
 struct loan_refusal {
   std::string service;
   std::uint64_t borrower_incarnation = 0;
--- a/src/libsamphire/allowance/partition_manager.h
+++ b/src/libsamphire/allowance/partition_manager.h
@@ -20,6 +20,7 @@
 // retried.
 class partition_manager {
  public:
+  // `store`, `clock`, `metrics` and `user` must outlive the manager.
   partition_manager(object_store& store,
                     const clock_source& clock,
                     metrics& metrics,
--- a/src/libsamphire/decision/class_load.h
+++ b/src/libsamphire/decision/class_load.h
@@ -16,7 +16,8 @@
   class_load(const request_class& declared, duration prior)
       : rules(declared), service(prior) {}
 
-  // The declaration under which the waiting requests were queued.
+  // The declaration under which the waiting requests were queued. It is
+  // replaced only while none waits, except for the queue limit.
   request_class rules;
   service_time service;
   // When the latest service time sample was taken.
--- a/src/libsamphire/decision/crash_notice.h
+++ b/src/libsamphire/decision/crash_notice.h
@@ -13,7 +13,8 @@
 struct crash_notice {
   request_fingerprint fingerprint = 0;
   std::string target;
-  // Whether no other request of the sending entry ran on the target.
+  // Whether no other request ran on the target as far as the sending entry
+  // knows, from its own attempts and from notices of other entries.
   bool alone = false;
 
   template <typename Archive>
--- a/src/libsamphire/decision/crash_quarantine.h
+++ b/src/libsamphire/decision/crash_quarantine.h
@@ -63,6 +63,7 @@
   };
   struct loss {
     request_fingerprint first_suspect = 0;
+    // Whether more than one request is known to have run on the target.
     bool shared = false;
     // Attempts of this entry that ran on the target when the loss became known,
     // and whose outcome has not been reported yet.
--- a/src/libsamphire/decision/dispatcher_status.h
+++ b/src/libsamphire/decision/dispatcher_status.h
@@ -24,7 +24,7 @@
   // Running requests of any kind, and bulk requests alone.
   std::uint32_t in_flight = 0;
   std::uint32_t bulk_in_flight = 0;
-  // Owned slots of targets that are closed or ejected.
+  // Owned slots of targets that are closed, ejected or no longer declared.
   std::uint32_t unusable = 0;
   // Share of the usable slots that is not in use, in 0..1.
   double headroom = 0;
@@ -37,7 +37,8 @@
   std::vector<refusal_count> refusals;
   // Names of the ejected targets.
   std::vector<std::string> ejected;
-  // Regions that have a declared shift cap or work running here.
+  // Other regions that have a declared shift cap or whose callers have sent
+  // requests to this entry.
   std::vector<shift_status> shifts;
 };
 
--- a/src/libsamphire/decision/load_shedder.h
+++ b/src/libsamphire/decision/load_shedder.h
@@ -31,7 +31,8 @@
   // duration::max().
   duration WaitBound(duration mean_service) const;
 
-  // Shedding level, see dispatcher_status::shed_level.
+  // Shedding level: 0 sheds nothing, 1 all of low, 2 all of low and normal
+  // priority; fractions shed part of a priority.
   double level() const { return level_; }
   // Wait of the latest measured request.
   duration delay() const { return last_delay_; }
--- a/src/libsamphire/decision/loan_demand.h
+++ b/src/libsamphire/decision/loan_demand.h
@@ -7,11 +7,11 @@
 
 namespace samphire {
 
-// How many slots the waiting requests of an entry could use beyond those that
-// it has, and for how long.
+// How many slots the waiting interactive requests of an entry could use beyond
+// those that it has, and for how long.
 struct loan_demand {
-  // How long each of the first of these requests has waited already, longest
-  // first.
+  // How long each of the first of these requests has waited already, in the
+  // order in which the queue serves them (higher priority first).
   std::vector<duration> waits;
   // The longest time that work on a borrowed slot may run.
   duration longest_work{0};
--- a/src/libsamphire/decision/queued.h
+++ b/src/libsamphire/decision/queued.h
@@ -9,7 +9,8 @@
 
 // Decision to queue a request; its result follows later as a wakeup.
 struct queued {
-  // How many waiting requests are currently served before it.
+  // How many requests of its home region and kind, of its priority or above,
+  // were waiting when it was queued.
   std::size_t position = 0;
   // Estimated time until it gets a slot.
   duration expected_wait{0};
--- a/src/libsamphire/decision/service_dispatcher.h
+++ b/src/libsamphire/decision/service_dispatcher.h
@@ -40,8 +40,8 @@
 // targets: admits, queues or refuses requests and places them on targets. Does
 // no I/O and reads no clock: the time is a parameter, and a seed makes all
 // decisions deterministic. Not thread-safe, but for the shift account, which
-// may be shared between threads. A call that returns wakeups may have changed
-// the result of NextTick.
+// may be shared between threads. Any call that is not const may change the
+// result of NextTick.
 class service_dispatcher {
  public:
   service_dispatcher(const service& declared,
@@ -58,8 +58,9 @@
                      queue_order order = queue_order::kArrival);
   ~service_dispatcher();
 
-  // Applies a changed declaration. Waiting requests keep the rules under which
-  // they were queued.
+  // Applies a changed declaration. A class with waiting requests keeps its
+  // previous rules, except for the queue limit, until a later call finds none
+  // of its requests waiting.
   std::vector<wakeup> SetService(const service& declared,
                                  const limits& bounds,
                                  time_point now);
@@ -70,7 +71,8 @@
   // running work continues.
   std::vector<wakeup> SetClosedTargets(const std::set<std::string>& closed,
                                        time_point now);
-  // Replaces the shift caps and this entry's share of them.
+  // Replaces the shift caps and this entry's share of them. Waiting requests
+  // that the new caps admit start in a later call that returns wakeups.
   void SetShiftCaps(const std::vector<shift_cap>& caps,
                     const shift_share& share);
   // Sets the load that a target reports of itself, in 0..1; it only breaks ties
@@ -121,7 +123,8 @@
   // Returns the number of slots that are in use or lent beyond those owned,
   // because a slot partition was released while they were.
   std::uint32_t excess_slots() const;
-  // Returns the closed targets on which work is still running.
+  // Returns the targets that are closed or no longer declared and on which work
+  // is still running.
   std::set<std::string> draining() const;
 
  private:
--- a/src/libsamphire/decision/service_time.h
+++ b/src/libsamphire/decision/service_time.h
@@ -18,8 +18,8 @@
 
   // Exponentially weighted mean.
   duration mean() const { return mean_; }
-  // Estimate of the longest service time: about the longest of the last few
-  // hundred samples.
+  // Estimate of the longest service time: rises to each longer sample at once
+  // and decays towards the mean over several thousand samples.
   duration tail() const { return tail_; }
   // Whether there has been any sample.
   bool measured() const { return samples_ > 0; }
--- a/src/libsamphire/decision/slot_ramp.h
+++ b/src/libsamphire/decision/slot_ramp.h
@@ -18,8 +18,7 @@
   slot_ramp(duration length, double stagger)
       : length_(length), stagger_(stagger) {}
 
-  // Restarts the ramp with no slots usable but, depending on `stagger`, the
-  // first.
+  // Restarts the ramp with no slots usable.
   void Restart(time_point now);
   // Halves the usable part, because the target shed load, and ramps up from
   // there.
--- a/src/libsamphire/decision/target_pool.h
+++ b/src/libsamphire/decision/target_pool.h
@@ -66,7 +66,9 @@
   // Number of free slots, owned and borrowed, and of free owned slots alone.
   std::uint32_t FreeSlots(time_point now) const;
   std::uint32_t FreeOwnedSlots(time_point now) const;
-  // Number of slots of serving targets, in use or not, owned and borrowed.
+  // Number of slots, in use or not: all borrowed ones, and of the targets that
+  // are open and serving the owned slots that are not lent, as far as the ramps
+  // allow.
   std::uint32_t UsableSlots(time_point now) const;
   // Whether any target may receive new work now or later.
   bool AnyOpen() const;
--- a/src/libsamphire/decision/wait_queue.h
+++ b/src/libsamphire/decision/wait_queue.h
@@ -40,8 +40,8 @@
 
   // Visits waiting requests in the order of service (higher priority first,
   // then the lane whose first request is the oldest) until `visit` returns
-  // true; returns that request or null. At most kScanLimit requests of each
-  // list are visited.
+  // true; returns that request or null. At most kScanLimit (see
+  // wait_queue.cc) requests of each list are visited.
   waiter* Find(request_kind kind, const waiter_visitor& visit) const;
 
   bool empty() const { return by_id_.empty(); }
@@ -54,7 +54,9 @@
   const std::vector<std::unique_ptr<waiter_lane>>& lanes() const {
     return lanes_;
   }
-  // The request of this kind that has waited longest, or null.
+  // The request of this kind that has waited longest, or null. Only the first
+  // request of each list is considered, so with queue_order::kDeadline another
+  // one may have waited longer.
   const waiter* oldest(request_kind kind) const;
   // The earliest latest start of any waiting request; none if the queue is
   // empty.
--- a/src/libsamphire/steering/lookup_composer.h
+++ b/src/libsamphire/steering/lookup_composer.h
@@ -8,9 +8,9 @@
 
 namespace samphire {
 
-// Composes the response for a caller at this address: entries of its home
-// region first, then of the other regions by latency. Entries with the same
-// configuration and view of the members give a caller the same response.
+// Composes the response for a caller at the address `caller`: entries of its
+// home region first, then of the other regions by latency. Entries with the
+// same configuration and view of the members give a caller the same response.
 // Without entries in `directory` the response lists none. Thread-safe, since it
 // only reads its arguments.
 lookup_response ComposeLookupResponse(const lookup_snapshot& snapshot,
