--- a/src/libsamphire/front/connection_limiter.h
+++ b/src/libsamphire/front/connection_limiter.h
@@ -17,8 +17,9 @@
  public:
   connection_limiter(std::uint32_t limit, samphire::metrics& counters);
 
-  // Returns false after refusing the connection. Accepts every connection until
-  // set_server() is called.
+  // Returns false after refusing the connection, which blocks for a bounded
+  // time, see RefuseConnection(); no other connection is accepted meanwhile.
+  // Accepts every connection until set_server() is called.
   bool accept(const Poco::Net::StreamSocket& socket) override;
   // Sets the server whose open connections are counted. It must outlive the
   // calls of accept(). May be called from any thread.
--- a/src/libsamphire/front/front_limits.h
+++ b/src/libsamphire/front/front_limits.h
@@ -14,7 +14,8 @@
   std::uint32_t max_connections = 400;
   // Size of one request head: request line and headers.
   std::uint32_t max_header_bytes = 16384;
-  // Time from the first byte of a request to the end of its head.
+  // Time from the first byte of a request to the end of its head. The body may
+  // take as long again.
   milliseconds header_timeout{5000};
   // Time that a connection may stay open without a request.
   milliseconds idle_timeout{30'000};
--- a/src/libsamphire/front/front_server.h
+++ b/src/libsamphire/front/front_server.h
@@ -26,6 +26,7 @@
                Poco::Net::HTTPRequestHandlerFactory::Ptr factory,
                const front_limits& limits,
                samphire::metrics& counters);
+  // Calls Close() and stops the threads.
   ~front_server();
 
   // Starts accepting connections.
--- a/src/libsamphire/front/front_shared_state.h
+++ b/src/libsamphire/front/front_shared_state.h
@@ -13,7 +13,7 @@
 
 // State shared by the connections of one port: limits, phase and the number of
 // active requests. The atomic members may be used from any thread; the pipe is
-// closed by the thread that closes the port.
+// closed by the thread that sets the phase kRefusing.
 struct front_shared_state {
   explicit front_shared_state(const front_limits& limits)
       : max_header_bytes(limits.max_header_bytes),
--- a/src/libsamphire/front/header_names.h
+++ b/src/libsamphire/front/header_names.h
@@ -8,8 +8,11 @@
 // Names of the HTTP headers between callers and entries, and on requests that
 // one entry forwards to another.
 
+// On a request: time that is left for the response, a positive number of
+// milliseconds.
 inline const std::string kHeaderDeadline = "Samphirewinch-Deadline-Ms";
 inline const std::string kHeaderIdempotencyKey = "Idempotency-Key";
+// On a response: number and name of the result code, separated by a space.
 inline const std::string kHeaderResult = "Samphirewinch-Result";
 // Whether the request ran at a target.
 inline const std::string kHeaderRun = "Samphirewinch-Run";
@@ -19,7 +22,8 @@
 // Retry time in milliseconds, for callers that can wait less than a second.
 inline const std::string kHeaderRetryAfterMs = "Samphirewinch-Retry-After-Ms";
 inline const std::string kHeaderRequestId = "Request-Id";
-// Set on a request that one entry forwards to another.
+// Set on a request that one entry forwards to another: the region that the
+// caller's address belongs to.
 inline const std::string kHeaderHomeRegion = "Samphirewinch-Home-Region";
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/deployment_manager.h
+++ b/src/libsamphire/gateway/deployment_manager.h
@@ -40,7 +40,8 @@
   // Returns the table of the image's client blocks; builds it only if the
   // blocks differ from those of the last image.
   home_region_table_ptr BlockTableFor(const config_image& image);
-  // Tells the gates which targets are closed now.
+  // Passes the targets that are closed now to the gates whose set of closed
+  // targets has changed or been lost.
   void CloseTargets(const deployment& present);
   // Records the duration of the drains of those closed targets on which no work
   // is running any more. Called under the lock.
@@ -58,9 +59,10 @@
   std::mutex lock_;
   // "SERVICE.TARGET" of the targets that the platform lists as leaving or gone.
   std::set<std::string> listed_unavailable_;
-  // The closed targets that each service's gate was last told of.
+  // The closed targets that were last set at each service's gate.
   std::map<std::string, std::set<std::string>> closed_;
-  // Services whose gates must be told their closed targets again.
+  // Services whose gates may have lost their closed targets through a new
+  // configuration, so that they must be set again.
   std::set<std::string> stale_gates_;
   // Since when a closed target has been draining, by service and target.
   std::map<std::pair<std::string, std::string>, time_point> draining_;
--- a/src/libsamphire/gateway/entry_node_ticks.cc
+++ b/src/libsamphire/gateway/entry_node_ticks.cc
@@ -21,7 +21,7 @@
 constexpr int kSlowTicksPerConfirmation = 8;
 
 // Number of a region's entries that watch the store itself; the others get
-// changes from their peers. See distribution.
+// changes from their peers. See distribution/watcher_choice.h.
 constexpr std::size_t kWatchers = kWatchersPerRegion;
 
 // Returns how long loans and requests of a partition's former owner may still
--- a/src/libsamphire/gateway/fleet_view.cc
+++ b/src/libsamphire/gateway/fleet_view.cc
@@ -15,8 +15,8 @@
 }
 
 // A suspected member may merely be slow, and a look-up that names it costs its
-// callers one failed connection at worst. A member that is declared failed
-// would cost that for all of them.
+// callers one failed connection at worst. A look-up that names a member
+// declared failed would cost every one of its callers that connection.
 bool MayServe(const member& each) {
   return each.state != member_state::kDead;
 }
--- a/src/libsamphire/gateway/fleet_view.h
+++ b/src/libsamphire/gateway/fleet_view.h
@@ -34,9 +34,10 @@
   bool HasFreeSlots(const std::string& region,
                     const std::string& service) override;
   // Returns the peer address of another member of the own region, or an empty
-  // string.
+  // string if it is unknown or declared failed.
   std::string AddressOf(const std::string& name) const;
-  // Returns the peer addresses of the other members of the own region.
+  // Returns the peer addresses of the other members of the own region that are
+  // not declared failed.
   std::vector<std::string> OwnRegionPeers() const;
 
  private:
--- a/src/libsamphire/gateway/lookup_handler.cc
+++ b/src/libsamphire/gateway/lookup_handler.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Retry delay that is sent to the caller with a refusal.
+// Retry time that is sent to the caller with a refusal.
 constexpr milliseconds kRetryAfter{500};
 
 struct lookup_query {
--- a/src/libsamphire/gateway/lookup_handler.h
+++ b/src/libsamphire/gateway/lookup_handler.h
@@ -22,8 +22,8 @@
                      Poco::Net::HTTPServerResponse& response) override;
 
  private:
-  // Returns the response body: kNoConfiguration, kMalformedRequest,
-  // kUnknownService or kBadClientAddress if there is none.
+  // Returns the response body. Fails with kNoConfiguration, kMalformedRequest,
+  // kUnknownService or kBadClientAddress.
   result<std::string> Respond(const Poco::Net::HTTPServerRequest& request);
 
   node_state& state_;
--- a/src/libsamphire/gateway/note_reader.h
+++ b/src/libsamphire/gateway/note_reader.h
@@ -9,8 +9,9 @@
 
 namespace samphire {
 
-// Reads the headers that another entry added to its response; nothing if they
-// are missing or invalid, so that the response isn't an entry's.
+// Reads the headers that another entry added to its response. Returns nullopt
+// if the result code or the run state is missing or invalid: the response then
+// doesn't come from an entry.
 std::optional<response_status> ReadNote(const Poco::Net::HTTPResponse& head);
 
 // Whether the note belongs to the response of a request that ran, rather than
--- a/src/libsamphire/gateway/partition_distributor.cc
+++ b/src/libsamphire/gateway/partition_distributor.cc
@@ -129,8 +129,9 @@
 }
 
 // Running work isn't attributed to partitions, so a partition counts as idle
-// when no gate has more work than the remaining slots allow: possibly later
-// than necessary, but never too early.
+// when no gate has more work than the remaining slots allow and the shifts from
+// other regions are within the remaining caps: possibly later than necessary,
+// but never too early.
 bool partition_distributor::IsIdle(std::uint32_t /*partition*/) {
   if (gates_.shifts().IsOverLimit(clock_.now()))
     return false;
--- a/src/libsamphire/gateway/peer_directory.h
+++ b/src/libsamphire/gateway/peer_directory.h
@@ -18,7 +18,8 @@
  public:
   virtual ~peer_directory() = default;
   // Returns the live entries of the region, without leaving ones, in the order
-  // in which this entry is to try them.
+  // in which this entry is to try them. The order differs between entries, so
+  // that their requests spread over the region.
   virtual std::vector<peer_entry> EntriesIn(const std::string& region) = 0;
   // Whether gossip last reported free slots of the service in the region.
   virtual bool HasFreeSlots(const std::string& region,
--- a/src/libsamphire/gateway/relay_result.h
+++ b/src/libsamphire/gateway/relay_result.h
@@ -20,7 +20,7 @@
   // Whether the head was sent to the caller, so that no other response is
   // possible.
   bool relayed = false;
-  // Whether a reused connection broke before any byte of a response, and the
+  // Whether a reused connection broke before a complete response head, and the
   // request was sent again on a new one.
   bool was_stale = false;
   // HTTP status; 0 if no head was received.
--- a/src/libsamphire/gateway/remote_server.cc
+++ b/src/libsamphire/gateway/remote_server.cc
@@ -11,11 +11,11 @@
 namespace {
 
 // Bounds the entries of the region that are tried. A second one is tried if the
-// first is unreachable; a third would only add to the time that the caller
-// waits for an unreachable region.
+// first is unreachable, doesn't respond or is leaving; a third would only add
+// to the time that the caller waits for an unreachable region.
 constexpr std::size_t kMaxPeers = 2;
 
-// Retry delay that is sent to the caller if no entry could serve the request.
+// Retry time that is sent to the caller if no entry could serve the request.
 constexpr milliseconds kRetryAfter{1000};
 
 // Returns the note for a request that no entry of the region has served.
--- a/src/libsamphire/gateway/request_router.cc
+++ b/src/libsamphire/gateway/request_router.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Retry delay that is sent to the caller if no region can be tried.
+// Retry time that is sent to the caller if no region can be tried.
 constexpr milliseconds kRetryAfter{1000};
 
 }  // namespace
--- a/src/libsamphire/gateway/service_handler.cc
+++ b/src/libsamphire/gateway/service_handler.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Retry delay that is sent to the caller with a refusal.
+// Retry time that is sent to the caller with a refusal.
 constexpr milliseconds kRetryAfter{1000};
 
 }  // namespace
--- a/src/libsamphire/ledger/forward_server.cc
+++ b/src/libsamphire/ledger/forward_server.cc
@@ -15,8 +15,8 @@
 // 20 ms per batch, this is one second's load at several thousand requests per
 // second; requests beyond it would only expire in the queue.
 constexpr std::size_t kMaxQueuedRequests = 4096;
-// Maximum time for committing a batch. The requesting entries don't wait longer
-// for the response.
+// Time after which a batch is not attempted again; a call to the platform is
+// not interrupted. The requesting entries don't wait longer for the response.
 constexpr milliseconds kCommitTimeout{250};
 
 }  // namespace
--- a/src/libsamphire/ledger/ledger.cc
+++ b/src/libsamphire/ledger/ledger.cc
@@ -13,8 +13,9 @@
 
 namespace {
 
-// Maximum time for which a settlement delays the response to the caller. After
-// it, the response is sent and the settlement is left to the retries.
+// Time after which a settlement is left to the retries; a call to the platform
+// is not interrupted. Until then the request's thread waits, which delays a
+// refusal or the end of a chunked response.
 constexpr milliseconds kSettleTimeout{1000};
 
 struct outcome_name {
--- a/src/libsamphire/ledger/ledger.h
+++ b/src/libsamphire/ledger/ledger.h
@@ -64,10 +64,12 @@
 
   // Operator calls. They read the platform rather than the state that this
   // process has cached.
-  // Returns the entry of a key, or kUnknownLedgerKey.
+  // Returns the entry of a key, kUnknownLedgerKey, or the failure of the
+  // platform.
   result<ledger_record> Show(const std::string& service,
                              const std::string& key);
-  // Returns all reservations in doubt and the shards that can't be decoded.
+  // Returns all reservations in doubt and the shards that can't be decoded, or
+  // the failure of the platform.
   result<unresolved_report> Unresolved();
   // Settles a reservation in doubt. Both `operator_name` and `reason` are
   // required. Returns kValueOutOfRange, kUnknownLedgerKey, kLedgerKeySettled if
--- a/src/libsamphire/ledger/ledger_entry.h
+++ b/src/libsamphire/ledger/ledger_entry.h
@@ -58,8 +58,8 @@
   }
 
  private:
-  template <typename Archive>
   // Stores a time of day as microseconds since the Unix epoch.
+  template <typename Archive>
   static void SerializeTime(Archive& archive, wall_time& time) {
     std::int64_t count =
         std::chrono::duration_cast<microseconds>(time.time_since_epoch())
--- a/src/libsamphire/ledger/ledger_layout.h
+++ b/src/libsamphire/ledger/ledger_layout.h
@@ -21,8 +21,9 @@
                       std::uint32_t shards);
 
 // Returns the number of shards of the platform's ledger. If there is no ledger
-// yet, creates its layout with `declared_shards` first. Returns kStoreCorrupt
-// if the stored layout is invalid, or the failure of the platform.
+// yet, creates its layout with `declared_shards`, limited to 1 to 4096, first.
+// Returns kStoreCorrupt if the stored layout is invalid, or the failure of the
+// platform.
 result<std::uint32_t> LoadOrCreateLayout(object_store& store,
                                          std::uint32_t declared_shards);
 
--- a/src/libsamphire/ledger/ledger_operator.cc
+++ b/src/libsamphire/ledger/ledger_operator.cc
@@ -9,8 +9,9 @@
 
 namespace {
 
-// Maximum time for committing an operator's decision. Longer than for callers,
-// since an operator would rather wait than get an uncertain result.
+// Time after which an operator's decision is not attempted again; a call to the
+// platform is not interrupted. Longer than for callers, since an operator would
+// rather wait than get an uncertain result.
 constexpr milliseconds kResolveTimeout{5000};
 
 }  // namespace
--- a/src/libsamphire/proxy/body_framing.h
+++ b/src/libsamphire/proxy/body_framing.h
@@ -25,7 +25,7 @@
     std::variant<no_body, fixed_length_body, chunked_body, until_close_body>;
 
 // Determines the framing of a response's body from its head.
-// `is_response_to_head` tells that the request's method was HEAD. Fails with
+// `is_response_to_head` means that the request's method was HEAD. Fails with
 // kTargetFailed if the length headers are invalid or contradictory. May be
 // called from any thread.
 result<body_framing> ParseResponseFraming(const Poco::Net::HTTPResponse& head,
--- a/src/libsamphire/proxy/dead_peer_timeout.cc
+++ b/src/libsamphire/proxy/dead_peer_timeout.cc
@@ -10,7 +10,8 @@
 // Idle time before the first keep-alive probe, and interval between probes. The
 // kernel supports whole seconds only.
 constexpr int kProbeIntervalSeconds = 1;
-// Unacknowledged probes after which the connection fails.
+// Unacknowledged probes after which the connection fails. On Linux,
+// TCP_USER_TIMEOUT takes the place of this limit while it is set.
 constexpr int kProbes = 3;
 
 }  // namespace
--- a/src/libsamphire/proxy/http_exchange.h
+++ b/src/libsamphire/proxy/http_exchange.h
@@ -54,10 +54,10 @@
   result<void> Send(const Poco::Net::HTTPRequest& head,
                     std::string_view body,
                     body_source* body_remainder = nullptr);
-  // Returns the response head, valid for as long as the exchange. Skips interim
-  // responses (100 Continue) and late responses to earlier requests. Fails with
-  // kTargetFailed, kAnswerTruncated (see accept_unframed), kDeadlineExceeded or
-  // kCallerGone.
+  // Returns the response head, valid for as long as the exchange. Skips late
+  // responses to earlier requests, and of the interim responses only 100
+  // Continue. Fails with kTargetFailed, kAnswerTruncated (see accept_unframed),
+  // kDeadlineExceeded or kCallerGone.
   result<Poco::Net::HTTPResponse*> ReadHead();
   // Reads the next bytes of the response body and returns their number; 0 only
   // at the end of a complete body. Fails with kAnswerTruncated if the body
@@ -66,8 +66,8 @@
 
   exchange_stage stage() const { return stage_; }
   // Whether the request failed on a reused connection, while it was sent or
-  // before a response head: the likely cause is that the target had closed the
-  // idle connection.
+  // before a complete response head was read: the likely cause is that the
+  // target had closed the idle connection.
   bool failed_on_stale_connection() const {
     return failed_on_stale_connection_;
   }
