--- a/src/check/main.cc
+++ b/src/check/main.cc
@@ -42,7 +42,7 @@
 
 // A rule is violated, or a required rule judged nothing.
 constexpr int kViolationExitCode = 1;
-// No file is named, or a file cannot be read.
+// No file is named, or a file cannot be read or is invalid.
 constexpr int kUsageExitCode = 2;
 
 // Returns the time limits that the flags set.
--- a/src/ctl/command_line.cc
+++ b/src/ctl/command_line.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The prefix that tells a flag from a positional argument.
+// The prefix that distinguishes a flag from a positional argument.
 constexpr std::string_view kFlagStart = "--";
 
 error Usage(const std::string& detail) {
--- a/src/ctl/exit_code.h
+++ b/src/ctl/exit_code.h
@@ -8,7 +8,9 @@
 enum class exit_code {
   // The command succeeded.
   kDone = 0,
-  // Refused with a numbered result code: the change is not in force.
+  // Refused, or certainly not executed, with a numbered result code; a change
+  // is
+  // not in force.
   kRefused = 1,
   // The command line is wrong; nothing was sent.
   kUsage = 2,
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -41,8 +41,8 @@
 
 }  // namespace samphire
 
-// An unexpected exception does not tell whether the entry executed the call, so
-// the exit code is kUnknown.
+// After an unexpected exception it is unknown whether the entry executed the
+// call, so the exit code is kUnknown.
 int main(int argc, char** argv) {
   try {
     return static_cast<int>(
--- a/src/entry/operator/operator_api.h
+++ b/src/entry/operator/operator_api.h
@@ -35,7 +35,8 @@
   // Returns the declaration in force; fails with kNoConfiguration if there is
   // none.
   virtual result<config_response> Config() = 0;
-  // Returns the changes of the configuration, the newest first.
+  // Returns the proposals that await approval, then the accepted changes of the
+  // configuration, the newest first.
   virtual result<std::vector<history_entry>> History() = 0;
   // Approves another operator's proposal, which puts it into force.
   virtual result<apply_response> Witness(const witness_request& request) = 0;
@@ -43,7 +44,8 @@
   virtual result<status_response> Status() = 0;
 
   // Drains are planned stops of a target, a failure domain or a region; each
-  // change of them is a change of the declaration.
+  // change of them is a change of the declaration. Drains() fails with
+  // kNoConfiguration if there is no declaration in force.
   virtual result<std::vector<drain>> Drains() = 0;
   virtual result<apply_response> AddDrain(const drain_add_request& request) = 0;
   virtual result<apply_response> RemoveDrain(
--- a/src/entry/operator/operator_routes.cc
+++ b/src/entry/operator/operator_routes.cc
@@ -79,8 +79,8 @@
 }
 
 // Converts the result of a change. A change that awaits a witness is no
-// failure, but is not in force either: the code says so, and the proposal id in
-// the fields tells how to continue.
+// failure, but is not in force either: the code says so, and the fields
+// contain the id of the proposal that a second operator must approve.
 outcome_result ChangeOutcome(const result<apply_response>& response) {
   if (response.has_error())
     return response.error();
--- a/src/entry/operator_service.h
+++ b/src/entry/operator_service.h
@@ -39,9 +39,9 @@
  private:
   // Parses and validates the JSON of a declaration.
   result<declaration> Read(const std::string& text);
-  // Logs the outcome of a change and converts it to a response. kWitnessNeeded
-  // becomes a response with the proposal id; any other error is returned as it
-  // is.
+  // Converts the outcome of a change to a response; logs it if the change was
+  // accepted or refused. kWitnessNeeded becomes a response with the proposal
+  // id; any other error is returned as it is.
   result<apply_response> FinishChange(const result<apply_receipt>& receipt,
                                       const std::string& apply_id,
                                       const std::string& operator_name);
--- a/src/libsamphire/base/enum_names.h
+++ b/src/libsamphire/base/enum_names.h
@@ -9,8 +9,9 @@
 
 namespace samphire {
 
-// Maps the values of an enum class to their outer names. It is the only place
-// where these names are defined.
+// Maps the values of an enum class to their outer names, which appear in
+// messages, settings, stored data, logs and metrics. It is the only place where
+// these names are defined.
 template <typename E, std::size_t N>
 using enum_names = std::array<std::pair<E, std::string_view>, N>;
 
--- a/src/libsamphire/config/class_matcher.h
+++ b/src/libsamphire/config/class_matcher.h
@@ -11,6 +11,7 @@
 // nullptr if none matches or if the path is ambiguous, such as one with empty,
 // dot or encoded-slash segments. `path` is relative to the service and encoded
 // as received; its query is ignored. The result points into `declared`.
+// Thread-safe.
 const request_class* MatchClass(const service& declared,
                                 std::string_view method,
                                 std::string_view path);
--- a/src/libsamphire/config/declaration_reader.h
+++ b/src/libsamphire/config/declaration_reader.h
@@ -12,7 +12,8 @@
 // Reads and checks a declaration that an operator submits. Drains must have a
 // deadline after `now`, unless `active`, the declaration in effect (nullptr if
 // there is none), contains them unchanged. The error holds the JSON pointer or
-// the line and column of the first fault.
+// the line and column of the first fault. Thread-safe, as are all functions
+// here.
 result<declaration> ReadDeclaration(std::string_view text,
                                     wall_time now,
                                     const declaration* active = nullptr);
--- a/src/libsamphire/config/declaration_writer.h
+++ b/src/libsamphire/config/declaration_writer.h
@@ -8,7 +8,7 @@
 namespace samphire {
 
 // Returns a declaration as canonical JSON: equal declarations yield identical
-// bytes, and reading these yields an equal declaration.
+// bytes, and reading these yields an equal declaration. Thread-safe.
 std::string WriteDeclaration(const declaration& declared);
 
 // Returns a single drain in the format that ReadDrain() accepts.
--- a/src/libsamphire/config/limits.h
+++ b/src/libsamphire/config/limits.h
@@ -31,8 +31,8 @@
   milliseconds ledger_retention{3'600'000};
   // The number of shards into which the ledger is divided.
   std::uint32_t ledger_shards = 8;
-  // After this time without contact to the platform or to peers, an entry
-  // refuses requests that are not repeatable.
+  // An entry refuses requests that are not repeatable if neither the platform
+  // nor a peer has confirmed its configuration version for this long.
   milliseconds max_configuration_age{30'000};
 
   bool operator==(const limits&) const = default;
--- a/src/libsamphire/config/schema_validator.cc
+++ b/src/libsamphire/config/schema_validator.cc
@@ -36,8 +36,7 @@
 constexpr std::string_view kUnknownFieldSuffix = "'.";
 
 // Returns the JSON pointer of a violation. valijson reports its path as
-// "<root>",
-// "[services]", "[0]".
+// "<root>", "[services]", "[0]".
 std::string PointerOf(const schema_error& violation) {
   std::string pointer;
   for (const auto& step : violation.context) {
--- a/src/libsamphire/config/wall_time_text.h
+++ b/src/libsamphire/config/wall_time_text.h
@@ -8,8 +8,8 @@
 
 namespace samphire {
 
-// Parses a UTC time such as 2026-12-02T08:30:00Z, optionally with three digits
-// of milliseconds. Returns nothing for any other form.
+// Parses a UTC time of this century such as 2026-12-02T08:30:00Z, optionally
+// with three digits of milliseconds. Returns nothing for any other text.
 std::optional<wall_time> ParseWallTime(const std::string& text);
 // Returns a time in the same form, truncated to milliseconds, which are omitted
 // if they are 0.
--- a/src/libsamphire/experiment/caller_retry_context.h
+++ b/src/libsamphire/experiment/caller_retry_context.h
@@ -24,7 +24,8 @@
 
 // Returns how long the caller waits before it retries, 0 for at once. Returns
 // nothing when the outcome is final: the answer is complete, no attempt or time
-// remains, or the refusal names no time to retry. Pure; any thread may call it.
+// remains, or a refusal, corrupt or abandoned answer names no time to retry.
+// Pure; any thread may call it.
 std::optional<duration> CallerRetryDelay(const caller_retry_context& context);
 
 }  // namespace samphire
--- a/src/libsamphire/experiment/request_stream.h
+++ b/src/libsamphire/experiment/request_stream.h
@@ -34,8 +34,8 @@
   milliseconds abandon_after{5};
   // Size of the requested answer body in bytes, excluding its first line.
   std::uint64_t answer_bytes = 0;
-  // Additional headers, sent unchanged, such as the instructions that tell the
-  // stand-in target how to behave.
+  // Additional headers, sent unchanged, such as the directives of a simulated
+  // target.
   std::vector<std::pair<std::string, std::string>> headers;
 };
 
--- a/src/libsamphire/experiment/strict_json_object.h
+++ b/src/libsamphire/experiment/strict_json_object.h
@@ -15,7 +15,8 @@
 // Reads the fields of a JSON object strictly and keeps the first error: a field
 // that is missing, of the wrong type, out of range, or unknown, which means
 // that it was never read. The accessors do not throw for these; after an error
-// they return a usable value, and first_error() tells. Not synchronized.
+// they return some value of the type, and first_error() returns the error. Not
+// synchronized.
 class strict_json_object {
  public:
   // `pointer` is the JSON pointer of `object`. A null `object` is an error.
--- a/src/libsamphire/history/answer_body.h
+++ b/src/libsamphire/history/answer_body.h
@@ -14,8 +14,7 @@
   // library can report it.
   kTruncated,
   // Looks complete by HTTP framing, but bytes are missing or differ from those
-  // of
-  // the target.
+  // of the target.
   kCorrupt,
   // A refusal, which contains no answer of a target.
   kRefusal,
--- a/src/libsamphire/history/echo_body.h
+++ b/src/libsamphire/history/echo_body.h
@@ -10,7 +10,7 @@
 
 namespace samphire {
 
-// First line of the body of a stand-in target's answer. It identifies the
+// First line of the body of a simulated target's answer. It identifies the
 // request and run; filler bytes follow that can be computed from the request
 // id. A caller can thus tell its own complete answer from any other bytes.
 struct echo_header {
--- a/src/libsamphire/history/fresh_level_rule.cc
+++ b/src/libsamphire/history/fresh_level_rule.cc
@@ -23,7 +23,9 @@
   if (run->second.start.time_us < request.sent.time_us)
     return fmt::format("the level was measured {} ms before it was requested",
                        (request.sent.time_us - answer.measured_us) / 1000);
-  // An Age header that understates the age makes an outdated level look safe.
+  // Without an Age header, or with one that understates the age, an outdated
+  // level looks safe. Only a missing header, and one that overstates the age by
+  // more than its resolution of a second, are detected here.
   if (answer.age_s < 0)
     return "the Age header of the target is missing";
   const auto age_us = answer.time_us - answer.measured_us;
--- a/src/libsamphire/history/fresh_level_rule.h
+++ b/src/libsamphire/history/fresh_level_rule.h
@@ -10,8 +10,8 @@
 namespace samphire {
 
 // A measured level in an answer comes from the run of the request itself, not
-// from an earlier one, and the Age header does not misstate its age. Judges
-// complete answers that are not replayed, if targets recorded a history.
+// from an earlier one, and has an Age header that does not overstate its age.
+// Judges complete answers that are not replayed, if targets recorded a history.
 class fresh_level_rule {
  public:
   // Name of the rule in verdicts.
--- a/src/libsamphire/history/planned_stop_rule.cc
+++ b/src/libsamphire/history/planned_stop_rule.cc
@@ -47,7 +47,8 @@
          (!answer.reused || !request.runs.empty());
 }
 
-// Returns whether the target itself aborted a run of the request.
+// Returns whether the target itself aborted a run of the request, or recorded
+// no end of it, as when its process was killed.
 bool InterruptedByTarget(const history_index& history,
                          const indexed_request& request) {
   for (const auto number : request.runs) {
--- a/src/libsamphire/history/run_claim.h
+++ b/src/libsamphire/history/run_claim.h
@@ -5,9 +5,9 @@
 
 namespace samphire {
 
-// What a response says about whether its request ran at a target. The names are
+// What a response says about whether its request ran at a target. kNone: the
+// response says nothing. kUnknown: the entry does not know. The names are
 // stored in histories.
-// kNone: the response says nothing. kUnknown: the entry does not know.
 enum class run_claim { kNone, kRan, kNotRun, kUnknown };
 
 inline constexpr enum_names<run_claim, 4> kRunClaimNames{{
--- a/src/libsamphire/history/target_leaving.h
+++ b/src/libsamphire/history/target_leaving.h
@@ -8,7 +8,7 @@
 
 namespace samphire {
 
-// Event: a target was told to leave (a drain began), or its drain was undone.
+// Event: a drain of a target began (`leaving`), or was undone.
 struct target_leaving {
   static constexpr std::string_view kName = "target-leaving";
   history_time time_us = 0;
--- a/src/load/caller.h
+++ b/src/load/caller.h
@@ -46,7 +46,7 @@
     // Time until the deadline, sent along with the request.
     duration remaining{0};
     // How long the caller waits to connect, and for each read, before it
-    // hangs up.
+    // abandons the attempt.
     duration response_timeout{0};
   };
 
--- a/src/load/keep_alive_pool.cc
+++ b/src/load/keep_alive_pool.cc
@@ -19,9 +19,9 @@
   return Poco::Timespan(std::chrono::duration_cast<microseconds>(time).count());
 }
 
-// Connects from a given source address, which tells the entry to which client
-// block the caller belongs. Poco can't bind a stream socket before connecting,
-// but the socket's implementation object can.
+// Connects from a given source address, from which the entry derives the client
+// block that the caller belongs to. Poco can't bind a stream socket before
+// connecting, but the socket's implementation object can.
 Poco::Net::StreamSocket Connect(const std::string& source,
                                 const std::string& destination,
                                 duration timeout) {
--- a/src/load/lookup_cache.h
+++ b/src/load/lookup_cache.h
@@ -34,7 +34,7 @@
   std::vector<std::string> EntriesFor(const std::string& source,
                                       const std::string& service);
 
-  // Look-ups sent to entries, and those of them that failed.
+  // Look-ups attempted at entries, and those of them that failed.
   std::uint64_t calls() const { return calls_; }
   std::uint64_t failures() const { return failures_; }
 
--- a/src/target/request_directives.cc
+++ b/src/target/request_directives.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Limit of the response body length that a request may ask for.
+// Upper bound on the response body length that a request may select.
 constexpr std::uint64_t kMaxBytes = 256 << 20;
 
 std::optional<std::uint64_t> Number(const Poco::Net::HTTPRequest& request,
--- a/src/target/request_directives.h
+++ b/src/target/request_directives.h
@@ -18,23 +18,26 @@
   std::string id;
   // Idempotency-Key; "" if absent.
   std::string key;
-  // Length of the filler that follows the echo header in the response body.
+  // Target-Bytes: length of the filler that follows the echo header in the
+  // response body.
   std::uint64_t bytes = 0;
-  // Sends only this many bytes of the body, then closes the connection.
+  // Target-Truncate: sends only this many bytes of the body, then closes the
+  // connection.
   std::optional<std::uint64_t> truncate;
-  // Service time, instead of a random one.
+  // Target-Sleep-Ms: service time, instead of a random one.
   std::optional<milliseconds> sleep;
-  // Time that is left when the request arrives; it is cancelled after that.
+  // Samphirewinch-Deadline-Ms: time that is left when the request arrives; it
+  // is cancelled after that.
   std::optional<milliseconds> deadline;
-  // Crashes the target.
+  // Target-Crash: crashes the target if it is "1".
   bool crash = false;
-  // Uses chunked encoding without a content length, so that only the last chunk
-  // shows that the response is complete.
+  // Target-Chunked: if it is "1", uses chunked encoding without a content
+  // length, so that only the last chunk shows that the response is complete.
   bool chunked = false;
 };
 
 // Reads the directives of a request. A malformed number counts as absent, and
-// `bytes` is limited.
+// `bytes` is reduced to 256 MiB if it is larger.
 request_directives ReadRequestDirectives(const Poco::Net::HTTPRequest& request);
 
 }  // namespace samphire
