--- a/src/libsamphire/distribution/chunk_store.h
+++ b/src/libsamphire/distribution/chunk_store.h
@@ -16,6 +16,7 @@
 // calls.
 class chunk_store {
  public:
+  // The arguments must outlive this object.
   chunk_store(object_store& store,
               const publish_options& options,
               metrics& metrics);
--- a/src/libsamphire/distribution/config_follower.h
+++ b/src/libsamphire/distribution/config_follower.h
@@ -26,6 +26,8 @@
   // the loading thread and without any lock held.
   using image_callback = std::function<void(const image_ptr& image)>;
 
+  // The arguments passed by reference must outlive this object, except for
+  // `limits`, which is copied.
   config_follower(object_store& store,
                   config_peer_source& peers,
                   const clock_source& clock,
--- a/src/libsamphire/distribution/config_publisher.h
+++ b/src/libsamphire/distribution/config_publisher.h
@@ -19,10 +19,12 @@
 // Brings configuration changes into force, each as a whole or not at all, by
 // one conditional write of the root object. Thread-safe; calls block for the
 // time of the store's calls and retries. Only one change at a time is processed
-// per process, further ones wait. Besides the errors named below, errors of the
-// store are returned.
+// per publisher, further ones wait. Besides the errors named below, errors of
+// the store are returned, and kApplyOutcomeUnknown if it couldn't be determined
+// whether a change is in force.
 class config_publisher {
  public:
+  // `store`, `clock` and `metrics` must outlive this object.
   config_publisher(object_store& store,
                    const clock_source& clock,
                    metrics& metrics,
@@ -31,12 +33,14 @@
   // Brings `declared`, which was parsed and validated before, into force.
   // Returns kWitnessNeeded if the change affects a witnessed class and was
   // therefore only proposed under its apply id, and kVersionConflict if another
-  // change was accepted first.
+  // change was accepted first, if another version than request.expect is in
+  // force, or if the apply id was used for a different change.
   result<apply_receipt> Apply(const declaration& declared,
                               const apply_request& request);
   // Apply the declaration in force with one drain changed; AddDrain replaces a
   // drain of the same name, and RemoveDrain returns kUnknownDrain if there is
-  // none.
+  // none. Both return kNoConfiguration if nothing was applied yet, the errors
+  // of CheckDeclaration and CheckNewDrains, and those of Apply.
   result<apply_receipt> AddDrain(const drain& added,
                                  const apply_request& request);
   result<apply_receipt> RemoveDrain(const std::string& name,
--- a/src/libsamphire/distribution/image_loader.h
+++ b/src/libsamphire/distribution/image_loader.h
@@ -22,7 +22,7 @@
 // reused by their digest; only the missing ones are fetched, level by level of
 // each tree. Every fetched chunk is checked against its digest, and the lines
 // of fetched client blocks and of a new frame are parsed. Returns kStoreCorrupt
-// if the root or a chunk is damaged, or the error of `fetch`.
+// if the root or a chunk is damaged, or the errors of `fetch` and ReadFrame.
 result<image_ptr> LoadImage(const std::string& root_text,
                             const image_ptr& base,
                             const chunk_map& offered,
--- a/src/libsamphire/distribution/instance_follower.h
+++ b/src/libsamphire/distribution/instance_follower.h
@@ -15,8 +15,9 @@
 
 // Keeps a copy of the platform's instance list: watchers read it from the
 // platform, all other entries request it from a peer, which sends it only if it
-// changed. Runs one thread. Start and Stop are called by the owner; SetWatching
-// and ListIfChanged may be called from any thread.
+// changed, and read it from the platform if that fails. Runs one thread. Start
+// and Stop are called by the owner; SetWatching and ListIfChanged may be called
+// from any thread.
 class instance_follower {
  public:
   // Called on that thread, without any lock held, with each list that differs
@@ -24,6 +25,8 @@
   using instances_callback =
       std::function<void(const std::vector<instance_info>& instances)>;
 
+  // The arguments passed by reference must outlive this object, except for
+  // `limits`, which is copied.
   instance_follower(object_store& store,
                     config_peer_source& peers,
                     metrics& metrics,
--- a/src/libsamphire/distribution/line_tree.h
+++ b/src/libsamphire/distribution/line_tree.h
@@ -12,6 +12,12 @@
 
 namespace samphire {
 
+// A line tree stores a set of lines as chunks: the leaves hold the lines, which
+// the topmost bits of the hashes of their keys distribute over the leaves, and
+// inner chunks refer to their children by ref. A change of a few lines
+// therefore replaces only the leaves concerned and the chunks above them. The
+// functions below have no state and may be called from any thread.
+
 // A line KEY\tVALUE with the hash of its key, which determines its leaf.
 struct keyed_line {
   std::uint64_t hash = 0;
--- a/src/libsamphire/distribution/root_commit.h
+++ b/src/libsamphire/distribution/root_commit.h
@@ -21,7 +21,7 @@
 // the time of its attempts.
 //
 // kVersionConflict: the change is certainly not in force. kStoreUnreachable: no
-// write was sent, so it isn't in force either. kApplyOutcomeUnknown: the
+// write took effect, so it isn't in force either. kApplyOutcomeUnknown: the
 // outcome couldn't be determined. Other errors of the store are returned as
 // they are.
 result<void> CommitRoot(object_store& store,
--- a/src/libsamphire/distribution/witness_check.h
+++ b/src/libsamphire/distribution/witness_check.h
@@ -8,9 +8,11 @@
 
 namespace samphire {
 
-// Returns the witnessed request classes ("SERVICE/CLASS") that differ between
-// the two declarations, and "limits/ledger" if the ledger limits that affect
-// them differ. Empty if no second operator is needed.
+// A declaration may mark a request class as witnessed: a second operator, the
+// witness, must then accept each change of it. Returns the witnessed request
+// classes ("SERVICE/CLASS") that differ between the two declarations, and
+// "limits/ledger" if the ledger limits that affect them differ. Empty if no
+// second operator is needed.
 std::vector<std::string> WitnessedChanges(const declaration& current,
                                           const declaration& wanted);
 
--- a/src/libsamphire/membership/member_shard_router.h
+++ b/src/libsamphire/membership/member_shard_router.h
@@ -13,6 +13,7 @@
 // rendezvous hashing. May be called by any thread.
 class member_shard_router final : public shard_router {
  public:
+  // `membership` must outlive this object.
   explicit member_shard_router(const membership_service& membership)
       : membership_(membership) {}
 
--- a/src/libsamphire/membership/membership_message.h
+++ b/src/libsamphire/membership/membership_message.h
@@ -35,7 +35,8 @@
   }
 };
 
-// kJoin: announces the sender and requests the records of the other members.
+// kJoin: announces the sender and requests the records of the other members. A
+// receiver in another region responds with digests of regions only.
 struct join_message {
   member self;
 
@@ -77,7 +78,8 @@
 
 // kSyncRequest: requests the records of all members whose name hash is from
 // `first_name_id` to `last_name_id` and whose checksum is missing from
-// `checksums` or differs. The response is kGossip. An empty range
+// `checksums` or differs. The response is kGossip for members and kRegionDigest
+// for regions. An empty range
 // (`first_name_id` above `last_name_id`) requests no members.
 struct sync_request_message {
   std::uint32_t first_name_id = 0;
--- a/src/libsamphire/membership/membership_service.h
+++ b/src/libsamphire/membership/membership_service.h
@@ -22,10 +22,11 @@
 
 namespace samphire {
 
-// Runs membership over a transport, with a thread of its own. All functions may
-// be called by any thread. The callbacks run on the thread that received the
-// message, or on the own thread, without any lock of this class held. They must
-// not block.
+// Runs membership over a transport, with a thread of its own. Start and Stop
+// are called by the owner, and Stop not from a callback; all other functions
+// may be called by any thread. The callbacks run on the thread that received
+// the message, or on the own thread, without any lock of this class held. They
+// must not block.
 class membership_service {
  public:
   // The transport, the clock and the registry must outlive this object. `seed`
@@ -42,7 +43,9 @@
   membership_service& operator=(const membership_service&) = delete;
 
   // Called when a member of the own region joins, changes its state or process,
-  // or is declared dead. All callbacks must be set before Start().
+  // or is declared dead. All callbacks must be set before Start(), and before
+  // the transport receives, since this object handles messages once
+  // constructed.
   std::function<void(const member&)> on_member_changed;
   // Called when a peer reports a newer configuration. A digest of 0 means
   // unknown.
--- a/src/libsamphire/membership/membership_table.cc
+++ b/src/libsamphire/membership/membership_table.cc
@@ -14,7 +14,7 @@
   return known.state != member_state::kDead;
 }
 
-// Whether a member is suspected does not count: some members get its answers
+// Whether a member is suspected does not count: some members get its acks
 // and others do not, so their checksums would never agree.
 std::uint64_t Fingerprint(const member& known) {
   const auto seed =
--- a/src/libsamphire/membership/membership_table.h
+++ b/src/libsamphire/membership/membership_table.h
@@ -23,7 +23,7 @@
   // What a report on a member changed.
   enum class merge_result {
     kNone,
-    // The member changed; other members should be told.
+    // The member changed; other members should get an update.
     kChanged,
     // Other members suspect this process or have declared it dead. It has
     // raised its refutation count; the caller sends the refutation.
@@ -51,6 +51,8 @@
   void PostponeTimers(duration by);
 
   // Set the own record. The caller has to tell other members of the change.
+  // SetDigest assigns the process id and the next sequence itself, and keeps
+  // only the first kMaxServiceLoads loads.
   void SetState(member_state state);
   void SetDigest(member_digest digest);
 
--- a/src/libsamphire/membership/outgoing_message.h
+++ b/src/libsamphire/membership/outgoing_message.h
@@ -8,7 +8,7 @@
 namespace samphire {
 
 // A message that membership wants sent to the peer at `address` (IP:PORT). The
-// payload is encoded but neither sealed nor signed.
+// payload is encoded; the transport adds the envelope and the signature.
 struct outgoing_message {
   std::string address;
   message_kind kind = message_kind::kProbe;
--- a/src/libsamphire/membership/prober.h
+++ b/src/libsamphire/membership/prober.h
@@ -51,8 +51,8 @@
   std::optional<relay> OnAck(std::uint64_t id);
   // Records a probe on behalf of another member and returns its id.
   std::uint64_t AddRelay(relay requester, time_point now);
-  // Drops all pending probes: they went unanswered because this process was
-  // paused, not because of their subjects.
+  // Drops all pending probes, also those on behalf of other members: they went
+  // unanswered because this process was paused, not because of their subjects.
   void Reset(time_point now);
 
  private:
--- a/src/libsamphire/membership/region_directory.h
+++ b/src/libsamphire/membership/region_directory.h
@@ -23,7 +23,7 @@
     // The digest is newer, with the same contacts and configuration version.
     kRefreshed,
     // Contacts or configuration version differ; the members of this region
-    // should be told soon.
+    // should get an update soon.
     kChanged,
   };
 
--- a/src/libsamphire/peer/peer_token.h
+++ b/src/libsamphire/peer/peer_token.h
@@ -36,7 +36,8 @@
   // Returns the sender of `request`. Returns kPeerMalformed when the token
   // cannot be parsed, kPeerBadDigest when it does not belong to the request or
   // was signed with an unknown key, and kPeerReplayed when it is too old, too
-  // far in the future or was used before.
+  // far in the future, was used before, or cannot be recorded because too many
+  // tokens are stored already.
   result<peer_identity> Verify(const peer_request& request,
                                std::string_view token,
                                wall_time now);
--- a/src/libsamphire/peer/udp_peer_transport.h
+++ b/src/libsamphire/peer/udp_peer_transport.h
@@ -26,7 +26,8 @@
  public:
   // Binds `address` (IP:PORT; port 0 selects a free one), but receives only
   // after Start. `sender` is the name of this instance. Throws
-  // Poco::Net::NetException when the address cannot be bound.
+  // Poco::Net::NetException when the address cannot be bound. `clock` and
+  // `registry` must outlive this object.
   udp_peer_transport(const std::string& address,
                      std::string sender,
                      std::uint64_t incarnation,
--- a/src/libsamphire/store/http_caller.h
+++ b/src/libsamphire/store/http_caller.h
@@ -19,11 +19,13 @@
 // retries and backoff are up to the caller. Any number of threads may call.
 class http_caller {
  public:
+  // `clock` must outlive this object.
   http_caller(http_store_options options, const clock_source& clock);
 
   // Blocks until a complete response was received, whatever its status except
-  // 503, or all addresses failed. Returns kStoreUnreachable when the call had
-  // no effect and kStoreOutcomeUnknown when it may have had one.
+  // 503, or all addresses failed; a write whose outcome is unknown at one
+  // address is not sent to the next. Returns kStoreUnreachable when the call
+  // had no effect and kStoreOutcomeUnknown when it may have had one.
   result<store_http_reply> Call(const store_http_call& call);
 
   const http_store_options& options() const { return options_; }
--- a/src/libsamphire/store/http_object_store.h
+++ b/src/libsamphire/store/http_object_store.h
@@ -19,6 +19,7 @@
 // the caller. Counts calls and errors in the store metrics.
 class http_object_store final : public object_store {
  public:
+  // `clock` and `metrics` must outlive this object.
   http_object_store(http_store_options options,
                     const clock_source& clock,
                     metrics& metrics);
@@ -26,8 +27,6 @@
   result<store_object> Get(const std::string& key) override;
   result<std::uint64_t> Put(const std::string& key,
                             const std::string& value,
-                            // Version that the object must have for a write; 0
-                            // for reads and for objects that must not exist.
                             std::uint64_t expected) override;
   result<void> Delete(const std::string& key, std::uint64_t expected) override;
   result<std::vector<store_object>> List(const std::string& prefix) override;
@@ -42,6 +41,8 @@
     store_call call = store_call::kGet;
     std::string uri;
     std::string body;
+    // Version that the object must have for a write; 0 for reads and for
+    // objects that must not exist.
     std::uint64_t expected = 0;
     milliseconds timeout{0};
   };
--- a/src/libsamphire/store/object_relay.h
+++ b/src/libsamphire/store/object_relay.h
@@ -20,10 +20,12 @@
 // sources at any time. Thread-safe.
 class object_relay {
  public:
+  // `clock` must outlive this object.
   explicit object_relay(const clock_source& clock) : clock_(clock) {}
 
   // Applies the result of a watch under `prefix` and wakes up waiting peers.
   // `confirmed` if it came from the platform itself rather than from a peer.
+  // Ignores a batch whose cursor is 0 or below that of the replica.
   void Publish(const std::string& prefix,
                const watch_batch& batch,
                bool confirmed = true);
--- a/src/libsamphire/store/object_store.h
+++ b/src/libsamphire/store/object_store.h
@@ -15,7 +15,8 @@
 // The platform's object API. Calls block and may be made from any thread.
 // Errors are kStoreUnreachable (the call had no effect), kStoreOutcomeUnknown
 // (it may have had an effect), kStoreConflict, kStoreNotFound,
-// kStoreValueTooLarge and kStoreRefused.
+// kStoreValueTooLarge, kStoreRefused and kStoreCorrupt (the response could not
+// be decoded).
 class object_store : public object_watcher {
  public:
   // Returns the object; kStoreNotFound if it does not exist.
@@ -26,7 +27,8 @@
   virtual result<std::uint64_t> Put(const std::string& key,
                                     const std::string& value,
                                     std::uint64_t expected) = 0;
-  // Deletes the object if its version is `expected`; kStoreConflict otherwise.
+  // Deletes the object if its version is `expected`; kStoreNotFound if it does
+  // not exist, kStoreConflict if it has another version.
   virtual result<void> Delete(const std::string& key,
                               std::uint64_t expected) = 0;
   // Returns all objects whose keys begin with `prefix`.
