--- a/src/libsamphire/decision/shift_budget.cc
+++ b/src/libsamphire/decision/shift_budget.cc
@@ -13,7 +13,7 @@
 
 // A shift without any request for this long has ended, and the next one starts
 // at the initial bound, since the caches that it had warmed are being evicted.
-constexpr duration kQuietTime = std::chrono::seconds(30);
+constexpr duration kShiftIdleTime = std::chrono::seconds(30);
 // Protects against the load of a region that is lost or drained: within seconds
 // all of it arrives at other regions and meets cold caches, where each request
 // takes several times as long. The bound on work in flight is what the
@@ -46,8 +46,9 @@
   if (home_region == own_region_)
     return;
   auto& each = shifts_[home_region];
-  const bool quiet = each.in_flight == 0 && (each.last_seen == time_point{} ||
-                                             now - each.last_seen > kQuietTime);
+  const bool quiet =
+      each.in_flight == 0 &&
+      (each.last_seen == time_point{} || now - each.last_seen > kShiftIdleTime);
   if (quiet)
     each.started = now;
   // Refused requests keep the ramp going as well, since their callers will
--- a/src/libsamphire/gateway/caller_response.cc
+++ b/src/libsamphire/gateway/caller_response.cc
@@ -31,23 +31,23 @@
 
 caller_response::caller_response(Poco::Net::HTTPServerRequest& request,
                                  Poco::Net::HTTPServerResponse& response,
-                                 note_headers notes)
+                                 status_headers headers)
     : response_(response),
       socket_(static_cast<Poco::Net::HTTPServerRequestImpl&>(request).socket()),
-      notes_(notes) {}
+      headers_(headers) {}
 
 // Date, Age and the body of the target are passed on unchanged, because a
 // reading must show its own age. The entry's own headers are added.
 void caller_response::Begin(const Poco::Net::HTTPResponse& head,
                             const body_framing& framing,
-                            const response_status& note) {
+                            const response_status& status) {
   const bool keep_alive = response_.getKeepAlive();
   response_.setStatusAndReason(head.getStatus(), head.getReason());
   CopyEndToEndHeaders(head, response_);
   response_.setKeepAlive(keep_alive);
   std::visit(framing_setter{response_}, framing);
-  if (notes_ == note_headers::kAlways)
-    SetStatusHeaders(response_, note);
+  if (headers_ == status_headers::kAlways)
+    SetStatusHeaders(response_, status);
   stream_ = &response_.send();
 }
 
@@ -74,9 +74,9 @@
   }
 }
 
-void caller_response::Refuse(const response_status& note) {
+void caller_response::Refuse(const response_status& status) {
   refused_ = true;
-  WriteRefusal(response_, note);
+  WriteRefusal(response_, status);
 }
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/caller_response.h
+++ b/src/libsamphire/gateway/caller_response.h
@@ -12,7 +12,7 @@
 namespace samphire {
 
 // On which responses the entry's own headers are sent.
-enum class note_headers { kAlways, kOnRefusals };
+enum class status_headers { kAlways, kOnRefusals };
 
 // The response on the connection on which the request arrived. Must not outlive
 // `request` and `response`; used by the thread of that request.
@@ -20,15 +20,15 @@
  public:
   caller_response(Poco::Net::HTTPServerRequest& request,
                   Poco::Net::HTTPServerResponse& response,
-                  note_headers notes = note_headers::kAlways);
+                  status_headers headers = status_headers::kAlways);
 
   void Begin(const Poco::Net::HTTPResponse& head,
              const body_framing& framing,
-             const response_status& note) override;
+             const response_status& status) override;
   bool Write(std::string_view bytes) override;
   void End() override;
   void Abort() override;
-  void Refuse(const response_status& note) override;
+  void Refuse(const response_status& status) override;
   bool begun() const override { return stream_ != nullptr || refused_; }
 
   // The caller's connection, for a caller_watch.
@@ -37,7 +37,7 @@
  private:
   Poco::Net::HTTPServerResponse& response_;
   Poco::Net::StreamSocket socket_;
-  const note_headers notes_;
+  const status_headers headers_;
   std::ostream* stream_ = nullptr;
   bool refused_ = false;
 };
--- a/src/libsamphire/gateway/local_server.cc
+++ b/src/libsamphire/gateway/local_server.cc
@@ -78,7 +78,7 @@
   progress state{request, caller, sink, gates_.Find(request.service->name)};
   if (!state.gate)
     return serve_failure{
-        MakeNote(state, result_code::kNoTargetAvailable, run_state::kNotRun)};
+        MakeStatus(state, result_code::kNoTargetAvailable, run_state::kNotRun)};
   state.admission = admission_request{
       .id = next_id_++,
       .request_class = request.request_class,
@@ -110,26 +110,26 @@
   if (const auto* found = std::get_if<replay>(&outcome))
     return Replay(state, *found);
   if (const auto* running = std::get_if<in_progress>(&outcome)) {
-    auto note = MakeNote(state, result_code::kReservationInProgress,
-                         run_state::kUnknown);
-    note.retry_after = running->retry_after;
-    return serve_failure{note};
+    auto status = MakeStatus(state, result_code::kReservationInProgress,
+                             run_state::kUnknown);
+    status.retry_after = running->retry_after;
+    return serve_failure{status};
   }
   if (std::holds_alternative<in_doubt>(outcome)) {
     return serve_failure{
-        MakeNote(state, result_code::kOutcomeUnknown, run_state::kUnknown)};
+        MakeStatus(state, result_code::kOutcomeUnknown, run_state::kUnknown)};
   }
   const auto& refusal = std::get<refused>(outcome);
-  auto note = MakeNote(state, refusal.code, run_state::kNotRun);
-  note.detail = refusal.detail;
-  return serve_failure{note};
+  auto status = MakeStatus(state, refusal.code, run_state::kNotRun);
+  status.detail = refusal.detail;
+  return serve_failure{status};
 }
 
 serve_result local_server::Replay(progress& state, const replay& found) {
-  const auto note = MakeNote(state, found.code, run_state::kRan);
+  const auto status = MakeStatus(state, found.code, run_state::kRan);
   if (found.response.status == 0)
-    return serve_failure{note};
-  SendBuffered(state.sink, ResponseOf(found.response), note);
+    return serve_failure{status};
+  SendBuffered(state.sink, ResponseOf(found.response), status);
   return response_sent{};
 }
 
@@ -142,9 +142,10 @@
       AvoidLostTargets(state);
       return std::nullopt;
     case quarantine_decision::kWait:
-      return MakeNote(state, result_code::kSuspectRunning, run_state::kNotRun);
+      return MakeStatus(state, result_code::kSuspectRunning,
+                        run_state::kNotRun);
     case quarantine_decision::kQuarantined:
-      return MakeNote(state, result_code::kQuarantined, run_state::kNotRun);
+      return MakeStatus(state, result_code::kQuarantined, run_state::kNotRun);
   }
   return std::nullopt;
 }
@@ -164,8 +165,8 @@
 
 serve_result local_server::RunAttempts(progress& state) {
   while (true) {
-    if (auto note = CheckQuarantine(state))
-      return Fail(state, note->code, run_state::kNotRun, kDefaultRetryAfter);
+    if (auto status = CheckQuarantine(state))
+      return Fail(state, status->code, run_state::kNotRun, kDefaultRetryAfter);
     const auto wait = state.gate->Acquire(state.admission, state.caller);
     if (const auto* refused = std::get_if<refusal>(&wait)) {
       return Fail(state, refused->reason, run_state::kNotRun,
@@ -198,7 +199,7 @@
   quarantine_.AttemptStarted(request.fingerprint, grant.target);
   response_relay relay(pool_, state.ticket ? no_caller : state.caller,
                        state.sink,
-                       MakeNote(state, result_code::kOk, run_state::kRan));
+                       MakeStatus(state, result_code::kOk, run_state::kRan));
   auto out = MakeTargetRequest(request, grant.address, clock_.now());
   out.fresh_connection |= state.fresh_connection || state.admission.isolate;
   auto end = relay.Run(out);
@@ -259,7 +260,7 @@
 serve_result local_server::Deliver(progress& state, relay_result end) {
   if (end.response) {
     SendBuffered(state.sink, *end.response,
-                 MakeNote(state, result_code::kOk, run_state::kRan));
+                 MakeStatus(state, result_code::kOk, run_state::kRan));
   }
   metrics_.Observe("request_seconds",
                    "service=\"" + state.request.service->name + "\",class=\"" +
@@ -286,14 +287,14 @@
     else
       ledger_.MarkUnknown(*state.ticket);
   }
-  auto note = MakeNote(state, code, run);
-  note.retry_after = retry_after;
-  return serve_failure{note};
+  auto status = MakeStatus(state, code, run);
+  status.retry_after = retry_after;
+  return serve_failure{status};
 }
 
-response_status local_server::MakeNote(const progress& state,
-                                       result_code code,
-                                       run_state run) const {
+response_status local_server::MakeStatus(const progress& state,
+                                         result_code code,
+                                         run_state run) const {
   return response_status{.code = code,
                          .run = run,
                          .config_version = state.request.deployment->version(),
--- a/src/libsamphire/gateway/local_server.h
+++ b/src/libsamphire/gateway/local_server.h
@@ -61,8 +61,8 @@
   // Reserves the idempotency key. Returns a result if the request ends here: it
   // is replayed, in progress elsewhere, in doubt or refused.
   std::optional<serve_result> Reserve(progress& state);
-  // Applies the quarantine decision to the admission request. Returns a note if
-  // the request may not run.
+  // Applies the quarantine decision to the admission request. Returns a status
+  // if the request may not run.
   std::optional<response_status> CheckQuarantine(progress& state);
   // Excludes the failure domains of the targets that were lost with this
   // request.
@@ -87,9 +87,9 @@
                     milliseconds retry_after);
   // Sends the recorded response of an earlier request with the same key.
   serve_result Replay(progress& state, const replay& found);
-  response_status MakeNote(const progress& state,
-                           result_code code,
-                           run_state run) const;
+  response_status MakeStatus(const progress& state,
+                             result_code code,
+                             run_state run) const;
 
   gate_set& gates_;
   ledger& ledger_;
--- a/src/libsamphire/gateway/region_choice.cc
+++ b/src/libsamphire/gateway/region_choice.cc
@@ -32,10 +32,10 @@
 // Only requests that certainly did not run are shifted, and only for reasons
 // that don't hold in every region: an idempotency key that is in use elsewhere,
 // or a request in quarantine, is refused by all of them.
-bool MayShift(const response_status& note) {
-  if (note.run != run_state::kNotRun)
+bool MayShift(const response_status& status) {
+  if (status.run != run_state::kNotRun)
     return false;
-  switch (note.code) {
+  switch (status.code) {
     case result_code::kQueueFull:
     case result_code::kDeadlineUnreachable:
     case result_code::kShedByPriority:
--- a/src/libsamphire/gateway/region_choice.h
+++ b/src/libsamphire/gateway/region_choice.h
@@ -29,9 +29,9 @@
 std::vector<std::string> ChooseRegions(
     const std::vector<region_candidate>& regions);
 
-// Whether a request that ended with this note may be shifted to the next
+// Whether a request that ended with this status may be shifted to the next
 // region.
-bool MayShift(const response_status& note);
+bool MayShift(const response_status& status);
 
 }  // namespace samphire
 
--- a/src/libsamphire/gateway/remote_server.cc
+++ b/src/libsamphire/gateway/remote_server.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "front/header_names.h"
-#include "gateway/note_reader.h"
+#include "gateway/status_reader.h"
 #include "gateway/target_request.h"
 
 namespace samphire {
@@ -18,10 +18,10 @@
 // Retry time that is sent to the caller if no entry could serve the request.
 constexpr milliseconds kRetryAfter{1000};
 
-// Returns the note for a request that no entry of the region has served.
-response_status FailureNote(const caller_request& request,
-                            result_code code,
-                            run_state run) {
+// Returns the status for a request that no entry of the region has served.
+response_status FailureStatus(const caller_request& request,
+                              result_code code,
+                              run_state run) {
   return response_status{.code = code,
                          .run = run,
                          .config_version = request.deployment->version(),
@@ -30,17 +30,18 @@
 
 // An entry that forwarded a request and gets no response can't know whether it
 // ran; only a connection that was never established proves that it did not.
-response_status NoteForOutcome(const caller_request& request,
-                               attempt_outcome outcome) {
+response_status StatusForOutcome(const caller_request& request,
+                                 attempt_outcome outcome) {
   if (outcome == attempt_outcome::kConnectFailed)
-    return FailureNote(request, result_code::kNoPeerInRegion,
-                       run_state::kNotRun);
+    return FailureStatus(request, result_code::kNoPeerInRegion,
+                         run_state::kNotRun);
   if (outcome == attempt_outcome::kCancelled)
-    return FailureNote(request, result_code::kCallerGone, run_state::kUnknown);
+    return FailureStatus(request, result_code::kCallerGone,
+                         run_state::kUnknown);
   if (outcome == attempt_outcome::kTimedOut)
-    return FailureNote(request, result_code::kDeadlineExceeded,
-                       run_state::kUnknown);
-  return FailureNote(request, result_code::kPeerLost, run_state::kUnknown);
+    return FailureStatus(request, result_code::kDeadlineExceeded,
+                         run_state::kUnknown);
+  return FailureStatus(request, result_code::kPeerLost, run_state::kUnknown);
 }
 
 }  // namespace
@@ -63,7 +64,7 @@
                                   const caller_watch& caller,
                                   response_sink& sink) {
   response_status last =
-      FailureNote(request, result_code::kNoPeerInRegion, run_state::kNotRun);
+      FailureStatus(request, result_code::kNoPeerInRegion, run_state::kNotRun);
   const auto peers = peers_.EntriesIn(region);
   for (std::size_t i = 0; i < peers.size() && i < kMaxPeers; ++i) {
     if (i > 0 && !MayTryNext(request, last))
@@ -72,7 +73,7 @@
     const auto* failed = std::get_if<serve_failure>(&end);
     if (failed == nullptr)
       return end;
-    last = failed->note;
+    last = failed->status;
     const bool peer_gone = last.code == result_code::kNoPeerInRegion ||
                            last.code == result_code::kPeerLost ||
                            last.code == result_code::kEntryLeaving;
@@ -83,15 +84,15 @@
 }
 
 bool remote_server::MayTryNext(const caller_request& request,
-                               const response_status& note) {
+                               const response_status& status) {
   const auto now = clock_.now();
   const auto& service = request.service->name;
   const bool safe =
-      request.request_class->repeatable || note.run == run_state::kNotRun;
+      request.request_class->repeatable || status.run == run_state::kNotRun;
   if (!safe || now >= request.deadline || !budgets_.Allows(service, now))
     return false;
   budgets_.Spend(service, now);
-  metrics_.CountRetry(note.code);
+  metrics_.CountRetry(status.code);
   return true;
 }
 
@@ -109,15 +110,15 @@
     return response_sent{};
   if (!end.response) {
     pool_.CloseIdle(peer.peer_address);
-    return serve_failure{NoteForOutcome(request, end.outcome)};
+    return serve_failure{StatusForOutcome(request, end.outcome)};
   }
-  const auto note = ReadNote(end.response->head);
-  if (!note)
+  const auto status = ReadStatusHeaders(end.response->head);
+  if (!status)
     return serve_failure{
-        FailureNote(request, result_code::kPeerLost, run_state::kUnknown)};
-  if (!IsTargetResponse(*note))
-    return serve_failure{*note};
-  SendBuffered(sink, *end.response, *note);
+        FailureStatus(request, result_code::kPeerLost, run_state::kUnknown)};
+  if (!IsTargetResponse(*status))
+    return serve_failure{*status};
+  SendBuffered(sink, *end.response, *status);
   return response_sent{};
 }
 
--- a/src/libsamphire/gateway/remote_server.h
+++ b/src/libsamphire/gateway/remote_server.h
@@ -40,9 +40,9 @@
   // home region.
   outgoing_request MakeForwardedRequest(const caller_request& request,
                                         const peer_entry& peer);
-  // Whether another entry may be tried after one ended with `note`. If so,
+  // Whether another entry may be tried after one ended with `status`. If so,
   // counts the retry against the retry budget of the service.
-  bool MayTryNext(const caller_request& request, const response_status& note);
+  bool MayTryNext(const caller_request& request, const response_status& status);
 
   peer_directory& peers_;
   peer_signer& signer_;
--- a/src/libsamphire/gateway/request_router.cc
+++ b/src/libsamphire/gateway/request_router.cc
@@ -38,7 +38,7 @@
     const auto* failed = std::get_if<serve_failure>(&end);
     if (failed == nullptr)
       return;
-    failure = failed->note;
+    failure = failed->status;
     if (!MayShift(failure) || clock_.now() >= request.deadline)
       break;
   }
--- a/src/libsamphire/gateway/response_relay.cc
+++ b/src/libsamphire/gateway/response_relay.cc
@@ -49,8 +49,8 @@
 response_relay::response_relay(connection_pool& pool,
                                const caller_watch& caller,
                                response_sink& sink,
-                               response_status note)
-    : pool_(pool), caller_(caller), sink_(sink), note_(std::move(note)) {}
+                               response_status status)
+    : pool_(pool), caller_(caller), sink_(sink), status_(std::move(status)) {}
 
 // Retries once, on a new connection, after the loss of a stale connection. A
 // target that crashes or restarts leaves broken idle connections behind, and
@@ -117,7 +117,7 @@
                             std::string_view first,
                             relay_result& end) {
   end.relayed = true;
-  const auto streamed = StreamResponse(exchange, head, first, note_, sink_);
+  const auto streamed = StreamResponse(exchange, head, first, status_, sink_);
   end.target_time += streamed.target_time;
   if (streamed.code != result_code::kOk)
     end.outcome = OutcomeOf(streamed.code);
@@ -125,7 +125,7 @@
 
 void SendBuffered(response_sink& sink,
                   const buffered_response& response,
-                  const response_status& note) {
+                  const response_status& status) {
   const bool empty =
       response.body.empty() &&
       !response.head.has(Poco::Net::HTTPMessage::CONTENT_LENGTH) &&
@@ -133,7 +133,7 @@
   sink.Begin(response.head,
              empty ? body_framing(no_body{})
                    : body_framing(fixed_length_body{response.body.size()}),
-             note);
+             status);
   if (!sink.Write(response.body)) {
     sink.Abort();
     return;
--- a/src/libsamphire/gateway/response_relay.h
+++ b/src/libsamphire/gateway/response_relay.h
@@ -19,11 +19,11 @@
 // request; not thread-safe. All references must outlive the relay.
 class response_relay {
  public:
-  // `note` is what the entry adds to a response that is streamed.
+  // `status` is what the entry adds to a response that is streamed.
   response_relay(connection_pool& pool,
                  const caller_watch& caller,
                  response_sink& sink,
-                 response_status note);
+                 response_status status);
 
   // Blocks until a short response is complete, a long one has been streamed, or
   // the exchange has failed; waits for the target until the request's deadline
@@ -46,14 +46,14 @@
   connection_pool& pool_;
   const caller_watch& caller_;
   response_sink& sink_;
-  response_status note_;
+  response_status status_;
 };
 
 // Writes a buffered response to the sink and ends it. Aborts the sink if the
 // caller no longer reads.
 void SendBuffered(response_sink& sink,
                   const buffered_response& response,
-                  const response_status& note);
+                  const response_status& status);
 
 }  // namespace samphire
 
--- a/src/libsamphire/gateway/response_sink.h
+++ b/src/libsamphire/gateway/response_sink.h
@@ -22,7 +22,7 @@
   // out.
   virtual void Begin(const Poco::Net::HTTPResponse& head,
                      const body_framing& framing,
-                     const response_status& note) = 0;
+                     const response_status& status) = 0;
   // Sends a part of the body. Returns false if the caller no longer accepts it.
   virtual bool Write(std::string_view bytes) = 0;
   // Completes the response.
@@ -30,8 +30,8 @@
   // Ends the response so that the receiver can't take what was written for a
   // complete one.
   virtual void Abort() = 0;
-  // Sends a refusal made by the entry itself, with the reason in `note`.
-  virtual void Refuse(const response_status& note) = 0;
+  // Sends a refusal made by the entry itself, with the reason in `status`.
+  virtual void Refuse(const response_status& status) = 0;
   // Whether the head of a response, or a refusal, has been sent.
   virtual bool begun() const = 0;
 };
--- a/src/libsamphire/gateway/response_stream.cc
+++ b/src/libsamphire/gateway/response_stream.cc
@@ -15,10 +15,10 @@
 response_stream_result StreamResponse(http_exchange& exchange,
                                       const Poco::Net::HTTPResponse& head,
                                       std::string_view first,
-                                      const response_status& note,
+                                      const response_status& status,
                                       response_sink& sink) {
   response_stream_result end;
-  sink.Begin(head, exchange.framing(), note);
+  sink.Begin(head, exchange.framing(), status);
   bool taken = sink.Write(first);
   std::array<char, kReadBufferBytes> buffer;
   while (taken) {
--- a/src/libsamphire/gateway/response_stream.h
+++ b/src/libsamphire/gateway/response_stream.h
@@ -29,7 +29,7 @@
 response_stream_result StreamResponse(http_exchange& exchange,
                                       const Poco::Net::HTTPResponse& head,
                                       std::string_view first,
-                                      const response_status& note,
+                                      const response_status& status,
                                       response_sink& sink);
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/serve_result.h
+++ b/src/libsamphire/gateway/serve_result.h
@@ -10,10 +10,10 @@
 // A response was sent to the caller, complete or not.
 struct response_sent {};
 
-// Nothing has been sent yet. The note is the refusal that the caller gets
+// Nothing has been sent yet. The status is the refusal that the caller gets
 // unless another region is tried first.
 struct serve_failure {
-  response_status note;
+  response_status status;
 };
 
 // How serving a request in one region ended.
--- a/src/libsamphire/gateway/service_gate.cc
+++ b/src/libsamphire/gateway/service_gate.cc
@@ -131,14 +131,14 @@
 
 void service_gate::Receive(const std::string& from,
                            const loan_message& message) {
-  loan_outbox answers;
+  loan_outbox responses;
   Run([&](time_point now) {
     auto step = loans_.Receive(from, message, now);
-    answers = std::move(step.messages);
+    responses = std::move(step.messages);
     return std::move(step.wakeups);
   });
-  if (!answers.empty())
-    sink_(answers);
+  if (!responses.empty())
+    sink_(responses);
 }
 
 void service_gate::Tick() {
--- a/src/libsamphire/gateway/note_reader.cc
+++ b/src/libsamphire/gateway/status_reader.cc
@@ -1,4 +1,4 @@
-#include "gateway/note_reader.h"
+#include "gateway/status_reader.h"
 
 #include <Poco/NumberParser.h>
 
@@ -6,7 +6,8 @@
 
 namespace samphire {
 
-std::optional<response_status> ReadNote(const Poco::Net::HTTPResponse& head) {
+std::optional<response_status> ReadStatusHeaders(
+    const Poco::Net::HTTPResponse& head) {
   const auto result_text = head.get(kHeaderResult, "");
   int number = 0;
   Poco::UInt64 version = 0;
@@ -27,9 +28,10 @@
                          .retry_after = milliseconds(retry_after)};
 }
 
-bool IsTargetResponse(const response_status& note) {
-  return note.code == result_code::kOk || note.code == result_code::kReplayed ||
-         note.code == result_code::kAnswerTooLargeToRecord;
+bool IsTargetResponse(const response_status& status) {
+  return status.code == result_code::kOk ||
+         status.code == result_code::kReplayed ||
+         status.code == result_code::kAnswerTooLargeToRecord;
 }
 
 }  // namespace samphire
--- a/src/libsamphire/gateway/note_reader.h
+++ b/src/libsamphire/gateway/status_reader.h
@@ -1,5 +1,5 @@
-#ifndef GATEWAY_NOTE_READER_H_
-#define GATEWAY_NOTE_READER_H_
+#ifndef GATEWAY_STATUS_READER_H_
+#define GATEWAY_STATUS_READER_H_
 
 #include <Poco/Net/HTTPResponse.h>
 
@@ -12,12 +12,13 @@
 // Reads the headers that another entry added to its response. Returns nullopt
 // if the result code or the run state is missing or invalid: the response then
 // doesn't come from an entry.
-std::optional<response_status> ReadNote(const Poco::Net::HTTPResponse& head);
+std::optional<response_status> ReadStatusHeaders(
+    const Poco::Net::HTTPResponse& head);
 
-// Whether the note belongs to the response of a request that ran, rather than
+// Whether the status belongs to the response of a request that ran, rather than
 // to a refusal.
-bool IsTargetResponse(const response_status& note);
+bool IsTargetResponse(const response_status& status);
 
 }  // namespace samphire
 
-#endif  // GATEWAY_NOTE_READER_H_
+#endif  // GATEWAY_STATUS_READER_H_
--- a/src/libsamphire/traffic/team_limiter.cc
+++ b/src/libsamphire/traffic/team_limiter.cc
@@ -117,7 +117,7 @@
         .role = role,
         .grantor_address = address};
     if (!permit.decision.granted)
-      NoteRefusal(team, permit);
+      CacheRefusal(team, permit);
     return permit;
   }
   return std::nullopt;
@@ -170,8 +170,8 @@
   });
 }
 
-void team_limiter::NoteRefusal(const std::string& team,
-                               const team_permit& refusal) {
+void team_limiter::CacheRefusal(const std::string& team,
+                                const team_permit& refusal) {
   teams_.With(team, [&](auto& teams) {
     auto& state = teams[team];
     state.refusal = refusal;
--- a/src/libsamphire/traffic/team_limiter.h
+++ b/src/libsamphire/traffic/team_limiter.h
@@ -82,7 +82,7 @@
   std::optional<team_permit> RecentRefusal(const std::string& team);
   // Whether another entry refused the team a permit in the last few seconds.
   bool WasRefusedRecently(const std::string& team);
-  void NoteRefusal(const std::string& team, const team_permit& refusal);
+  void CacheRefusal(const std::string& team, const team_permit& refusal);
   // Requests a permit from the entry at `address`. Returns nothing if it does
   // not respond, and immediately if it failed to within the last second.
   std::optional<permit_response> RequestPermit(const std::string& address,
--- a/src/libsamphire/traffic/traffic_handler.cc
+++ b/src/libsamphire/traffic/traffic_handler.cc
@@ -22,7 +22,7 @@
 void traffic_handler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                     Poco::Net::HTTPServerResponse& response) {
   auto& incoming = static_cast<front_request&>(request);
-  caller_response sink(request, response, note_headers::kOnRefusals);
+  caller_response sink(request, response, status_headers::kOnRefusals);
   const auto read = ReadTrafficRequest(incoming, context_);
   if (!read) {
     if (!incoming.IsFullyRead())
--- a/tests/gateway/region_choice_test.cc
+++ b/tests/gateway/region_choice_test.cc
@@ -6,7 +6,7 @@
 
 #include "front/response_writer.h"
 #include "gateway/header_copy.h"
-#include "gateway/note_reader.h"
+#include "gateway/status_reader.h"
 
 using namespace samphire;
 
@@ -45,21 +45,21 @@
 
 TEST_CASE("an entry reads the note that another entry wrote") {
   Poco::Net::HTTPResponse head;
-  const response_status note{.code = result_code::kQueueFull,
-                             .run = run_state::kNotRun,
-                             .config_version = 41,
-                             .retry_after = milliseconds(250)};
-  SetStatusHeaders(head, note);
-  const auto read = ReadNote(head);
+  const response_status status{.code = result_code::kQueueFull,
+                               .run = run_state::kNotRun,
+                               .config_version = 41,
+                               .retry_after = milliseconds(250)};
+  SetStatusHeaders(head, status);
+  const auto read = ReadStatusHeaders(head);
   REQUIRE(read);
-  CHECK(read->code == note.code);
-  CHECK(read->run == note.run);
-  CHECK(read->config_version == note.config_version);
-  CHECK(read->retry_after == note.retry_after);
+  CHECK(read->code == status.code);
+  CHECK(read->run == status.run);
+  CHECK(read->config_version == status.config_version);
+  CHECK(read->retry_after == status.retry_after);
   CHECK_FALSE(IsTargetResponse(*read));
-  CHECK_FALSE(ReadNote(Poco::Net::HTTPResponse()));
+  CHECK_FALSE(ReadStatusHeaders(Poco::Net::HTTPResponse()));
   head.set("Samphirewinch-Run", "perhaps");
-  CHECK_FALSE(ReadNote(head));
+  CHECK_FALSE(ReadStatusHeaders(head));
 }
 
 TEST_CASE("a target's hop-by-hop and entry headers are not copied") {
